--- a/packages/bench/src/benches/accounts.ts
+++ b/packages/bench/src/benches/accounts.ts
@@ -1,4 +1,4 @@
-import { AccountDuty } from '@ferrylock/entry';
+import { AccountLimitController } from '@ferrylock/entry';
 import { AccountTable } from '@ferrylock/routing';
 import { makeAccount, makeRoute } from '@ferrylock/test-utils';
 import { SystemClock, systemRandom } from '@ferrylock/utils';
@@ -27,21 +27,21 @@
 );
 const routes = Array.from({ length: ROUTES }, (_, index) => makeRoute({ name: `route-${index}` }));
 
-function makeDuty(): AccountDuty {
-  const duty = new AccountDuty({
+function makeDuty(): AccountLimitController {
+  const duty = new AccountLimitController({
     clock: new SystemClock(),
     random: systemRandom(),
     bound: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
     ownName: 'host-0',
     isFirstStart: true,
     hosts: () => [],
-    isHeard: () => true,
-    onRush: () => undefined,
+    isAlive: () => true,
+    onSurge: () => undefined,
   });
   duty.quotas.setAccounts(accounts);
   const told = Object.fromEntries(accounts.map(({ name }) => [name, 10]));
   for (let source = 0; source < SOURCES; source++) {
-    duty.takeTold(`domain ${source}`, { used: told, asked: told }, 5_000);
+    duty.mergeReport(`domain ${source}`, { used: told, demand: told }, 5_000);
   }
   return duty;
 }
@@ -64,7 +64,7 @@
         const route = routes[index % ROUTES] ?? makeRoute();
         const key = `key-${index % ACCOUNTS}-${index % KEYS_PER_ACCOUNT}`;
         const { account } = table.admit(route, key).unwrap();
-        if (account !== undefined && duty.take(account) === undefined) {
+        if (account !== undefined && duty.acquire(account) === undefined) {
           duty.settle(account, 1);
         }
       }
--- a/packages/bench/src/benches/rest-cost.ts
+++ b/packages/bench/src/benches/rest-cost.ts
@@ -1,5 +1,5 @@
-import { EventLog, TargetWords } from '@ferrylock/entry';
-import { NOTHING_LEFT_OUT, TargetLimits, TargetState } from '@ferrylock/routing';
+import { EventLog, TargetSignalRecorder } from '@ferrylock/entry';
+import { NO_DISABLED_MECHANISMS, TargetLimits, TargetState } from '@ferrylock/routing';
 import { makeTargetRecord } from '@ferrylock/test-utils';
 import { SeededRandom, silentLogger, SystemClock } from '@ferrylock/utils';
 import { measureHostProcess } from '../fleet/measure-host-process.js';
@@ -23,10 +23,10 @@
 export const restCost: Bench = async ({ progress }) => {
   progress('looks …');
   const clock = new SystemClock();
-  const words = new TargetWords({
+  const words = new TargetSignalRecorder({
     clock,
     events: new EventLog(silentLogger),
-    onLimit: () => undefined,
+    onLimitChange: () => undefined,
   });
   const targets = Array.from(
     { length: LOOKED_AT },
@@ -36,9 +36,9 @@
   const limits = new TargetLimits({
     clock,
     random: new SeededRandom(1),
-    others: () => ({ used: 0, askedPerSecond: 0 }),
-    fleet: () => ({ hosts, ownName: 'host-1', heardShare: 1 }),
-    leftOut: NOTHING_LEFT_OUT,
+    usageElsewhere: () => ({ used: 0, demandPerSecond: 0 }),
+    fleet: () => ({ hosts, ownName: 'host-1', visibleHostShare: 1 }),
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   const [first] = targets;
   let resting = 0;
@@ -47,12 +47,12 @@
       for (let request = 0; request < REQUESTS && first !== undefined; request++) {
         const now = clock.now();
         for (const target of targets) {
-          resting += Number(target.isResting(now, NOTHING_LEFT_OUT));
+          resting += Number(target.isResting(now, NO_DISABLED_MECHANISMS));
         }
-        resting += Number(limits.take(first));
+        resting += Number(limits.tryAcquire(first));
         words.recordSend(first);
         resting += Number(first.isResting(clock.now()));
-        words.take(SERVICE, first, SAYS_NOTHING, now);
+        words.recordResponse(SERVICE, first, SAYS_NOTHING, now);
       }
     }) / REQUESTS;
   progress('whole requests …');
--- a/packages/bench/src/benches/rests.ts
+++ b/packages/bench/src/benches/rests.ts
@@ -3,12 +3,12 @@
 import type { Bench, Row } from '../report.js';
 import { atMost } from '../report.js';
 
-type Way = Pick<WordFleetOptions, 'others' | 'comeBack' | 'leftOut'>;
+type Way = Pick<WordFleetOptions, 'others' | 'comeBack' | 'disabledMechanisms'>;
 
 /** What is made of a rest. The second is what hosts do. */
 const CHOSEN = 'each host by what it was told itself';
 const WAYS: Readonly<Record<string, Way>> = {
-  'not read': { leftOut: new Set(['rest']) },
+  'not read': { disabledMechanisms: new Set(['rest']) },
   [CHOSEN]: {},
   'the same at all hosts': { others: 'the-same' },
   'a hint at all hosts': { others: 'hint' },
--- a/packages/bench/src/benches/store-return.ts
+++ b/packages/bench/src/benches/store-return.ts
@@ -1,11 +1,11 @@
-import type { LeftOut } from '@ferrylock/routing';
+import type { DisabledMechanisms } from '@ferrylock/routing';
 import { EntryFleet, FakeClock } from '@ferrylock/test-utils';
 import type { Bench, Row } from '../report.js';
 import { atMost } from '../report.js';
 
 /** What hosts make of a store that comes back from a copy. The last is what they do. */
 const CHOSEN = 'lives, kept records, in turns';
-const WAYS: Readonly<Record<string, LeftOut>> = {
+const WAYS: Readonly<Record<string, DisabledMechanisms>> = {
   'revisions alone, as before': new Set(['store-lives', 'reading-in-turns']),
   'revisions alone, with a pause': new Set(['store-lives']),
   'lives, a new view in each': new Set(['kept-records']),
@@ -44,7 +44,7 @@
   readonly storeLooks: number;
 }
 
-async function play(hosts: number, leftOut: LeftOut, seed: number): Promise<Played> {
+async function play(hosts: number, leftOut: DisabledMechanisms, seed: number): Promise<Played> {
   const clock = new FakeClock();
   const fleet = new EntryFleet({
     clock,
@@ -54,7 +54,7 @@
     targetsPerService: 20,
     services: 3,
     seed,
-    leftOut,
+    disabledMechanisms: leftOut,
   });
   fleet.start();
   await clock.advance(SETTLE_MILLISECONDS);
--- a/packages/bench/src/benches/suspect-cost.ts
+++ b/packages/bench/src/benches/suspect-cost.ts
@@ -1,6 +1,6 @@
 import { IncomingMessage } from 'node:http';
 import { Socket } from 'node:net';
-import { EventLog, FleetView, requestFingerprint, SuspectDuty } from '@ferrylock/entry';
+import { EventLog, FleetView, requestFingerprint, SuspectController } from '@ferrylock/entry';
 import type { FingerprintedRequest } from '@ferrylock/entry';
 import { makeRoute, MemoryFleetStore } from '@ferrylock/test-utils';
 import { silentLogger, SystemClock, systemRandom } from '@ferrylock/utils';
@@ -20,17 +20,17 @@
 const MOST_AT_REST = 0.001;
 const MOST_WHILE_WATCHING = 0.02;
 
-function makeDuty(): SuspectDuty {
+function makeDuty(): SuspectController {
   const clock = new SystemClock();
-  return new SuspectDuty({
+  return new SuspectController({
     clock,
     random: systemRandom(),
     events: new EventLog(silentLogger),
     store: new MemoryFleetStore(clock),
     view: new FleetView(),
-    turnOf: () => 0,
+    writeOrderOf: () => 0,
     hosts: () => 1,
-    onNews: () => undefined,
+    onUpdate: () => undefined,
   });
 }
 
@@ -40,13 +40,13 @@
 }
 
 /** Milliseconds that a request takes to look whether it is watched. */
-function measureLooks(duty: SuspectDuty): number {
+function measureLooks(duty: SuspectController): number {
   const requests = Array.from({ length: 72 }, (_, index) => makeRequest(`/verdicts/${index}`));
   const milliseconds = processorMilliseconds(() => {
     for (let count = 0; count < LOOKS * REQUESTS; count++) {
       const request = requests[count % requests.length];
       if (request !== undefined) {
-        duty.find(request);
+        duty.findFingerprint(request);
       }
     }
   });
@@ -60,13 +60,13 @@
   const atRest = measureLooks(duty);
   progress('while as many as possible are watched …');
   for (let index = 0; index < WATCHED; index++) {
-    duty.table.recordEnd(requestFingerprint(makeRequest(`/other/${index}`)), `target-${index}`);
+    duty.table.recordCrash(requestFingerprint(makeRequest(`/other/${index}`)), `target-${index}`);
   }
   const watching = measureLooks(duty);
   const telling =
     processorMilliseconds(() => {
       for (let count = 0; count < MESSAGES; count++) {
-        duty.table.tell('all');
+        duty.table.report('all');
       }
     }) / MESSAGES;
   const upload = makeRequest('/upload', Buffer.alloc(UPLOAD_BYTES));
--- a/packages/bench/src/fleet/bench-headers.ts
+++ b/packages/bench/src/fleet/bench-headers.ts
@@ -1,5 +1,10 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import type { AnswerFacts, CallerDemand, HeaderDialect, TargetInstruction } from '@ferrylock/entry';
+import type {
+  ResponseMetadata,
+  RequestMetadata,
+  HeaderCodec,
+  ForwardMetadata,
+} from '@ferrylock/entry';
 
 /** Headers of the benches' own callers and targets. */
 export const REQUEST_ID = 'request-id';
@@ -9,10 +14,10 @@
 export const SIGNED = 'answer-signed';
 
 /** How the benches' callers and targets say what they mean. */
-export class BenchHeaders implements HeaderDialect {
-  readonly callerHeaders: ReadonlySet<string> = new Set();
+export class BenchHeaders implements HeaderCodec {
+  readonly consumedHeaders: ReadonlySet<string> = new Set();
 
-  readDemand(headers: IncomingHttpHeaders): CallerDemand {
+  decodeRequest(headers: IncomingHttpHeaders): RequestMetadata {
     return {
       requestId: text(headers[REQUEST_ID]),
       deadlineMilliseconds: undefined,
@@ -21,11 +26,11 @@
     };
   }
 
-  instruct({ deadlineMilliseconds, targetId }: TargetInstruction): Record<string, string> {
+  encodeForward({ deadlineMilliseconds, targetId }: ForwardMetadata): Record<string, string> {
     return { [DEADLINE]: String(deadlineMilliseconds), [TARGET]: targetId };
   }
 
-  readAnswer(_status: number, headers: IncomingHttpHeaders): AnswerFacts {
+  decodeResponse(_status: number, headers: IncomingHttpHeaders): ResponseMetadata {
     return {
       requestId: text(headers[REQUEST_ID]),
       isNotRun: false,
@@ -40,7 +45,7 @@
     };
   }
 
-  ownAnswerHeaders(requestId: string | undefined): Record<string, string> {
+  localReplyHeaders(requestId: string | undefined): Record<string, string> {
     return requestId === undefined ? {} : { [REQUEST_ID]: requestId };
   }
 }
--- a/packages/bench/src/fleet/host-process.ts
+++ b/packages/bench/src/fleet/host-process.ts
@@ -4,7 +4,7 @@
  */
 import { parseArgs } from 'node:util';
 import { EntryHost, EventLog } from '@ferrylock/entry';
-import { NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import { NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import { makeRoute, makeTargetRecord, MemoryFleetStore } from '@ferrylock/test-utils';
 import { createLogger, SystemClock, systemRandom } from '@ferrylock/utils';
 import { BenchHeaders } from './bench-headers.js';
@@ -76,21 +76,21 @@
       reportAddress: ANY_PORT,
       seedAddresses: [],
       capacity: 1,
-      mostHeldBodyBytes: 8_000_000,
-      stopMilliseconds: 1_000,
+      maxBufferedBodyBytes: 8_000_000,
+      shutdownTimeoutMilliseconds: 1_000,
       drainMilliseconds: 2_000,
-      retryBound: { ratio: 0.2, slack: 64, windowMilliseconds: 10_000 },
-      shiftBound: { share: 0.15, windowMilliseconds: 2_000 },
-      quotaBound: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
+      retryBudget: { ratio: 0.2, slack: 64, windowMilliseconds: 10_000 },
+      regionShiftLimit: { share: 0.15, windowMilliseconds: 2_000 },
+      quotaPolicy: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
       isFirstStart: true,
-      leftOut: NOTHING_LEFT_OUT,
-      longestDirectoryLifetimeMilliseconds: 5_000,
+      disabledMechanisms: NO_DISABLED_MECHANISMS,
+      maxDirectoryTtlMilliseconds: 5_000,
     },
     clock,
     random: systemRandom(),
     events: new EventLog(createLogger('info', { host: 'host-0' }, { stream: 'stdout' })),
     store,
-    dialect: new BenchHeaders(),
+    codec: new BenchHeaders(),
   });
   await host.start();
   while (!host.isReady) {
--- a/packages/bench/src/quotas/baseline-ways.ts
+++ b/packages/bench/src/quotas/baseline-ways.ts
@@ -1,4 +1,4 @@
-import { RequestRate, SlidingCount } from '@ferrylock/routing';
+import { RequestRate, SlidingWindowCounter } from '@ferrylock/routing';
 import type { ClientAccount } from '@ferrylock/routing';
 import type { MakeQuotaWay, QuotaSight, QuotaWayOptions } from '@ferrylock/test-utils';
 
@@ -7,7 +7,7 @@
 /** Each host keeps to a part of the limit; what decides its part varies. */
 function partsWay(partOf: (sight: QuotaSight, askedPerSecond: number) => number): MakeQuotaWay {
   return ({ account, bound, clock }: QuotaWayOptions) => {
-    const used = new SlidingCount(clock, bound.windowMilliseconds);
+    const used = new SlidingWindowCounter(clock, bound.windowMilliseconds);
     const asked = new RequestRate(clock, MILLISECONDS_PER_SECOND);
     let limit = limitOf(account, bound.windowMilliseconds);
     return {
@@ -21,7 +21,7 @@
         return mayRun;
       },
       tell: () => {
-        return { used: used.total, askedPerSecond: asked.perSecond };
+        return { used: used.total, demandPerSecond: asked.perSecond };
       },
     };
   };
@@ -36,6 +36,6 @@
 
 /** Parts by what is asked of each host, as told last. */
 export const demandParts = partsWay(({ others }, askedPerSecond) => {
-  const asked = others.askedPerSecond + askedPerSecond;
+  const asked = others.demandPerSecond + askedPerSecond;
   return asked === 0 ? 1 : askedPerSecond / asked;
 });
--- a/packages/bench/src/quotas/keeper-way.ts
+++ b/packages/bench/src/quotas/keeper-way.ts
@@ -1,4 +1,4 @@
-import { SlidingCount } from '@ferrylock/routing';
+import { SlidingWindowCounter } from '@ferrylock/routing';
 import type { MakeQuotaWay } from '@ferrylock/test-utils';
 
 /**
@@ -7,10 +7,10 @@
  * follows a keeper that died: it has forgotten.
  */
 export function makeKeeperWay(): MakeQuotaWay {
-  let kept: SlidingCount | undefined;
+  let kept: SlidingWindowCounter | undefined;
   return ({ account, bound, clock }) => {
     const { windowMilliseconds } = bound;
-    const own = new SlidingCount(clock, windowMilliseconds);
+    const own = new SlidingWindowCounter(clock, windowMilliseconds);
     kept = clock.now() === 0 ? (kept ?? own) : own;
     const keeper = kept;
     let { requestsPerSecond, burst } = account;
@@ -19,13 +19,13 @@
         ({ requestsPerSecond, burst } = changed);
       },
       take: ({ fleet }) => {
-        const isCutOff = fleet.deafMilliseconds > windowMilliseconds;
+        const isCutOff = fleet.peerReportAgeMilliseconds > windowMilliseconds;
         const used = isCutOff ? own : keeper;
         const mayRun = used.total + 1 <= (requestsPerSecond * windowMilliseconds) / 1_000 + burst;
         used.add(mayRun ? 1 : 0);
         return mayRun;
       },
-      tell: () => ({ used: 0, askedPerSecond: 0 }),
+      tell: () => ({ used: 0, demandPerSecond: 0 }),
     };
   };
 }
--- a/packages/bench/src/quotas/limit-ways.ts
+++ b/packages/bench/src/quotas/limit-ways.ts
@@ -1,10 +1,10 @@
-import { ColdGate } from '@ferrylock/routing';
+import { ColdStartLimiter } from '@ferrylock/routing';
 import type { MakeQuotaWay } from '@ferrylock/test-utils';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What a way that tells nothing tells. */
-const NOTHING = { used: 0, askedPerSecond: 0 };
+const NOTHING = { used: 0, demandPerSecond: 0 };
 
 /** A limit is not read. */
 export const notRead: MakeQuotaWay = () => ({
@@ -44,7 +44,7 @@
 
 /** The way of cold targets: few hosts send, the same ones by everybody's reckoning, each an equal part. */
 export const fewHosts: MakeQuotaWay = ({ account, clock }) => {
-  const gate = new ColdGate(clock);
+  const gate = new ColdStartLimiter(clock);
   const names = new Map<number, readonly string[]>();
   let { requestsPerSecond } = account;
   return {
@@ -55,7 +55,7 @@
       const known =
         names.get(hosts) ?? Array.from({ length: hosts }, (_, index) => `host-${index}`);
       names.set(hosts, known);
-      return gate.tryTake({
+      return gate.tryAcquire({
         target: 'target',
         requestsPerSecond,
         ownName: `host-${place}`,
--- a/packages/daemon/src/http/headers.ts
+++ b/packages/daemon/src/http/headers.ts
@@ -1,5 +1,5 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import { passOnHeaders } from '@ferrylock/entry';
+import { forwardableHeaders } from '@ferrylock/entry';
 
 /** Caller's remaining time in milliseconds: a duration, since clocks differ. */
 export const TIMEOUT_HEADER = 'ferrylock-timeout-ms';
@@ -33,10 +33,10 @@
   headers: IncomingHttpHeaders,
   added: Readonly<Record<string, string>>,
 ): Record<string, string | string[]> {
-  return Object.assign(passOnHeaders(headers, OWN_REQUEST_HEADERS), added);
+  return Object.assign(forwardableHeaders(headers, OWN_REQUEST_HEADERS), added);
 }
 
 /** A target's headers as they go to the caller. */
 export function responseHeaders(headers: IncomingHttpHeaders): Record<string, string | string[]> {
-  return passOnHeaders(headers, OWN_RESPONSE_HEADERS);
+  return forwardableHeaders(headers, OWN_RESPONSE_HEADERS);
 }
--- a/packages/daemon/src/request/target-words.ts
+++ b/packages/daemon/src/request/target-words.ts
@@ -1,5 +1,5 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import { readDecimal, readRest } from '@ferrylock/entry';
+import { parseDecimalHeader, parseRetryAfter } from '@ferrylock/entry';
 import { SharedBucket } from '@ferrylock/steering';
 import type { RateAllotment, Target } from '@ferrylock/steering';
 import type { Clock, Logger } from '@ferrylock/utils';
@@ -53,7 +53,7 @@
 
   #takeRest({ name, address, word }: Target, status: number, headers: IncomingHttpHeaders): void {
     const { clock, logger } = this.#options;
-    const milliseconds = status === UNAVAILABLE ? readRest(headers[REST_HEADER]) : undefined;
+    const milliseconds = status === UNAVAILABLE ? parseRetryAfter(headers[REST_HEADER]) : undefined;
     if (milliseconds === undefined) {
       return;
     }
@@ -68,7 +68,7 @@
 
   #takeLimit(target: Target, headers: IncomingHttpHeaders, sentAt: number): void {
     const { clock, logger, allotment } = this.#options;
-    const named = readDecimal(headers[LIMIT_HEADER], Math.min);
+    const named = parseDecimalHeader(headers[LIMIT_HEADER], Math.min);
     const { name, address, word, namedLimitKey } = target;
     const fields = { target: name, address };
     if (Number.isNaN(named)) {
--- a/packages/daemon/src/suspects/suspect-watch.ts
+++ b/packages/daemon/src/suspects/suspect-watch.ts
@@ -1,7 +1,7 @@
 import type { HeartbeatParticipant, Membership, ReceivedHeartbeat } from '@ferrylock/control';
 import { encodeSuspects, requestFingerprint, suspectsSchema } from '@ferrylock/entry';
 import type { CheckConnection, FingerprintedRequest } from '@ferrylock/entry';
-import { ANSWERS_TO_TAKE_BACK, SuspectTable } from '@ferrylock/routing';
+import { RESPONSES_TO_CLEAR, SuspectTable } from '@ferrylock/routing';
 import type { Target, Verdict } from '@ferrylock/steering';
 import type { Clock, Logger } from '@ferrylock/utils';
 import { rendezvousRank } from '@ferrylock/utils';
@@ -38,13 +38,13 @@
 
   describe(): { suspects: string } {
     this.#table.sweep();
-    return { suspects: encodeSuspects(this.#table.tell('all')) };
+    return { suspects: encodeSuspects(this.#table.report('all')) };
   }
 
   received({ fields }: Pick<ReceivedHeartbeat, 'fields'>): void {
     const told = suspectsSchema.safeParse(fields.suspects);
     if (told.success) {
-      this.#table.take(told.data);
+      this.#table.merge(told.data);
     }
   }
 
@@ -54,7 +54,7 @@
     if (fingerprint === undefined || !this.#table.isSuspect(fingerprint)) {
       return true;
     }
-    this.#table.recordAsked(fingerprint);
+    this.#table.recordArrival(fingerprint);
     return this.#takeTrial(fingerprint);
   }
 
@@ -78,7 +78,7 @@
     const fingerprint = this.#find(request);
     if (fingerprint !== undefined) {
       const isTrial = this.#table.isSuspect(fingerprint) && this.#triedAt.has(fingerprint);
-      this.#table.recordAnswer(fingerprint, isTrial ? ANSWERS_TO_TAKE_BACK : 1);
+      this.#table.recordResponse(fingerprint, isTrial ? RESPONSES_TO_CLEAR : 1);
     }
   }
 
@@ -93,8 +93,8 @@
   async #check(fingerprint: string, address: string): Promise<void> {
     const connection = await this.#options.checkConnection(address);
     if (connection === 'refused') {
-      this.#table.recordEnd(fingerprint, address);
-      const targets = this.#table.endsOf(fingerprint);
+      this.#table.recordCrash(fingerprint, address);
+      const targets = this.#table.crashesOf(fingerprint);
       this.#options.logger.warn('a target ended under a request', { fingerprint, targets });
     }
   }
@@ -107,7 +107,7 @@
     const ids = [membership.self, ...membership.knownMembers()].map(({ id }) => id);
     const [first] = rendezvousRank(fingerprint, [...new Set(ids)], (id) => id);
     const isDue =
-      now - this.#table.lastEndAt(fingerprint) >= TRIAL_AFTER_MILLISECONDS &&
+      now - this.#table.lastCrashAt(fingerprint) >= TRIAL_AFTER_MILLISECONDS &&
       now - triedAt >= TRIAL_PAUSE_MILLISECONDS;
     if (first !== membership.self.id || !isDue) {
       return false;
--- a/packages/entry/src/accounts/account-duty.ts
+++ b/packages/entry/src/accounts/account-limit-controller.ts
@@ -1,16 +1,16 @@
-import { AccountQuotas, forgottenShare } from '@ferrylock/routing';
+import { AccountQuotas, unaccountedShare } from '@ferrylock/routing';
 import type {
   UsageByName,
   ClientAccount,
-  FleetKnowledge,
-  QuotaBound,
+  PeerVisibility,
+  QuotaPolicy,
   QuotaRefusal,
 } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import type { EntryHostRecord } from '../fleet/fleet-record.js';
 import { largeHosts } from '../fleet/large-hosts.js';
 import { PeerUsage } from '../peers/peer-usage.js';
-import type { HostStart } from '../peers/peer-usage.js';
+import type { HostIncarnation } from '../peers/peer-usage.js';
 
 /**
  * From the end of a process to the first request of the next one, at least: for so long nothing ran at
@@ -43,25 +43,25 @@
 /** Shortest time between two messages that are sent for a rush, so that these cost little. */
 const LEAST_BETWEEN_RUSHES_MILLISECONDS = 100;
 
-export interface AccountDutyOptions {
+export interface AccountLimitControllerOptions {
   readonly clock: Clock;
   readonly random: Random;
-  readonly bound: QuotaBound;
+  readonly bound: QuotaPolicy;
   readonly ownName: string;
   /** Whether the whole deployment starts for the first time, so that nothing ran before. */
   readonly isFirstStart: boolean;
   /** Registered hosts; the same array while nothing changes. */
   readonly hosts: () => readonly EntryHostRecord[];
-  readonly isHeard: (host: EntryHostRecord) => boolean;
+  readonly isAlive: (host: EntryHostRecord) => boolean;
   /** An account's use grows faster than the rounds of reports tell. */
-  readonly onRush: () => void;
+  readonly onSurge: () => void;
 }
 
 /** Keeps client accounts to their limits, with what other hosts tell of their use. */
-export class AccountDuty {
+export class AccountLimitController {
   readonly quotas: AccountQuotas;
   readonly usage: PeerUsage;
-  readonly #options: AccountDutyOptions;
+  readonly #options: AccountLimitControllerOptions;
   /** Use of accounts by the whole fleet, as it was when this host told of it last. */
   readonly #toldTotal = new Map<string, number>();
   #rushToldAt = -Infinity;
@@ -74,7 +74,7 @@
   #newsAt = -Infinity;
   #blindShare = 0;
 
-  constructor(options: AccountDutyOptions) {
+  constructor(options: AccountLimitControllerOptions) {
     this.#options = options;
     const { clock, bound } = options;
     this.#rememberedSince = options.isFirstStart ? -Infinity : clock.now();
@@ -85,21 +85,21 @@
     });
     this.quotas = new AccountQuotas({
       ...options,
-      others: (account) => this.usage.others(account),
-      fleet: () => this.#fleet,
+      usageElsewhere: (account) => this.usage.others(account),
+      visibility: () => this.#fleet,
     });
     this.sweep();
   }
 
   /** How long some host that is heard remembers what ran, in milliseconds; at most one window. */
-  get rememberedMilliseconds(): number {
+  get historyMilliseconds(): number {
     const { clock, bound } = this.#options;
     return Math.min(bound.windowMilliseconds, clock.now() - this.#rememberedSince);
   }
 
   /** Lets a request of an account run, or tells why not. */
-  take(account: ClientAccount): QuotaRefusal | undefined {
-    const refusal = this.quotas.take(account);
+  acquire(account: ClientAccount): QuotaRefusal | undefined {
+    const refusal = this.quotas.acquire(account);
     if (refusal === undefined) {
       this.#tellRush(account.name);
     }
@@ -108,20 +108,24 @@
 
   /** Counts in how often a request that was let run came to run. */
   settle(account: ClientAccount, runs: number): void {
-    this.quotas.settle(account, runs);
+    this.quotas.recordRuns(account, runs);
   }
 
   /** Takes what a host tells of itself. */
-  takeHost(start: HostStart, told: UsageByName | undefined, rememberedMilliseconds: number): void {
-    this.takeTold(this.usage.sourceOf(start), told, rememberedMilliseconds);
+  mergeHostReport(
+    start: HostIncarnation,
+    told: UsageByName | undefined,
+    rememberedMilliseconds: number,
+  ): void {
+    this.mergeReport(this.usage.sourceOf(start), told, rememberedMilliseconds);
   }
 
   /** Takes what a source of reports tells. */
-  takeTold(source: string, told: UsageByName | undefined, rememberedMilliseconds: number): void {
+  mergeReport(source: string, told: UsageByName | undefined, rememberedMilliseconds: number): void {
     const grown = Object.entries(told?.used ?? {}).filter(
       ([account, used]) => used > this.usage.usedOf(source, account) + 1,
     );
-    this.usage.take(source, told);
+    this.usage.update(source, told);
     this.#takeNews(rememberedMilliseconds);
     for (const [account] of grown) {
       this.#tellRush(account);
@@ -129,14 +133,18 @@
   }
 
   /** Takes what a relay tells of the whole fleet. */
-  takeFleet(told: UsageByName | undefined, sequence: number, rememberedMilliseconds: number): void {
-    this.usage.takeFleet(told, sequence);
+  mergeFleetReport(
+    told: UsageByName | undefined,
+    sequence: number,
+    rememberedMilliseconds: number,
+  ): void {
+    this.usage.updateFromFleet(told, sequence);
     this.#takeNews(rememberedMilliseconds);
   }
 
   /** This host's own use, to be told under a number; what grew until now is told with it. */
   report(sequence: number): UsageByName {
-    const usage = this.usage.report(sequence);
+    const usage = this.usage.recordReport(sequence);
     this.#toldTotal.clear();
     for (const account of Object.keys(usage.used)) {
       this.#toldTotal.set(account, this.#totalOf(account));
@@ -146,11 +154,11 @@
 
   /** To be called a few times a second: looks who is heard. */
   sweep(): void {
-    const { clock, hosts, ownName, isHeard } = this.#options;
+    const { clock, hosts, ownName, isAlive: isHeard } = this.#options;
     const now = clock.now();
     this.usage.sweep();
     const isRecent = this.#hearsMost && now - this.#lookedAt < LOOK_MILLISECONDS;
-    if (!this.quotas.isNeeded || isRecent) {
+    if (!this.quotas.hasLimits || isRecent) {
       return;
     }
     this.#lookedAt = now;
@@ -173,17 +181,17 @@
     return this.#blindShare;
   }
 
-  get #fleet(): FleetKnowledge {
+  get #fleet(): PeerVisibility {
     const { clock, bound, hosts, ownName } = this.#options;
     const { windowMilliseconds } = bound;
     const registered = hosts();
     const isAlone = registered.every(({ name }) => name === ownName);
-    const known = this.rememberedMilliseconds + LEAST_DOWN_MILLISECONDS;
+    const known = this.historyMilliseconds + LEAST_DOWN_MILLISECONDS;
     return {
       isAlone,
-      deafMilliseconds: isAlone ? 0 : clock.now() - this.#newsAt,
-      blindShare: this.#blindShareAmong(registered),
-      forgottenShare: forgottenShare(known, windowMilliseconds),
+      peerReportAgeMilliseconds: isAlone ? 0 : clock.now() - this.#newsAt,
+      isolatedShare: this.#blindShareAmong(registered),
+      unaccountedShare: unaccountedShare(known, windowMilliseconds),
     };
   }
 
@@ -206,7 +214,7 @@
     this.#toldTotal.set(account, told);
     if (total > NEAR_LIMIT * limit && total - told > LEAST_TOLD_AT_ONCE + TOLD_AT_ONCE * limit) {
       this.#rushToldAt = now;
-      this.#options.onRush();
+      this.#options.onSurge();
     }
   }
 
--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -4,27 +4,27 @@
 import type { PeerTable } from './peers/peer-table.js';
 
 /** Entry hosts in one answer, at most. */
-const MOST_HOSTS = 64;
+const MAX_HOSTS = 64;
 /** How long callers use an answer: short, so that a host that died is left soon. */
-const LIFETIME_MILLISECONDS = 2_000;
+const TTL_MILLISECONDS = 2_000;
 /** Fewest large hosts of a region that may serve it alone: the loss of one has to be borne. */
-const FEWEST_LARGE = 3;
+const MIN_LARGE_HOSTS = 3;
 /** Part of the large hosts' time that all callers may take up when these are left to them. */
-const ENTER_SHARE = 0.3;
+const LARGE_ONLY_ENTER_UTILIZATION = 0.3;
 /** Part at which the small hosts come in: a rush to twice as much is to find room. */
-const LEAVE_SHARE = 0.45;
+const LARGE_ONLY_EXIT_UTILIZATION = 0.45;
 
 /** Which entry hosts a caller is to use, and for how long. */
 export interface DirectoryAnswer {
   readonly trafficAddresses: readonly string[];
-  readonly lifetimeMilliseconds: number;
+  readonly ttlMilliseconds: number;
 }
 
 /** An entry host that takes callers. */
 export interface DirectoryHost {
   readonly host: EntryHostRecord;
   /** Part of its time in which it has work, from 0 to 1. */
-  readonly busyShare: number;
+  readonly utilization: number;
 }
 
 export interface DirectoryOptions {
@@ -32,7 +32,7 @@
   readonly peers: PeerTable;
   /** This host, while it takes callers. */
   readonly own: () => DirectoryHost | undefined;
-  readonly longestLifetimeMilliseconds: number;
+  readonly maxTtlMilliseconds: number;
 }
 
 /**
@@ -51,13 +51,10 @@
   answer(region: string): DirectoryAnswer {
     const hosts = this.#hosts();
     const near = hosts.filter(({ host }) => host.region === region);
-    const chosen = this.#choose(region, near.length > 0 ? near : hosts).slice(0, MOST_HOSTS);
+    const chosen = this.#choose(region, near.length > 0 ? near : hosts).slice(0, MAX_HOSTS);
     return {
       trafficAddresses: chosen.map(({ host }) => host.trafficAddress),
-      lifetimeMilliseconds: Math.min(
-        LIFETIME_MILLISECONDS,
-        this.#options.longestLifetimeMilliseconds,
-      ),
+      ttlMilliseconds: Math.min(TTL_MILLISECONDS, this.#options.maxTtlMilliseconds),
     };
   }
 
@@ -66,9 +63,11 @@
     if (large.length === hosts.length) {
       return hosts;
     }
-    const bound = this.#largeOnly.has(region) ? LEAVE_SHARE : ENTER_SHARE;
+    const bound = this.#largeOnly.has(region)
+      ? LARGE_ONLY_EXIT_UTILIZATION
+      : LARGE_ONLY_ENTER_UTILIZATION;
     const fits = this.#work(hosts) <= bound * capacity(large);
-    if (fits && large.length >= FEWEST_LARGE) {
+    if (fits && large.length >= MIN_LARGE_HOSTS) {
       this.#largeOnly.add(region);
       return large;
     }
@@ -80,9 +79,9 @@
     const { view, peers, own } = this.#options;
     const self = own();
     const others = view.records('entryHost').flatMap(({ host }) => {
-      const isOther = host.name !== self?.host.name && peers.takesCallers(host);
-      const busyShare = peers.get(host.name)?.busyShare ?? 0;
-      return isOther ? [{ host, busyShare }] : [];
+      const isOther = host.name !== self?.host.name && peers.isServing(host);
+      const utilization = peers.get(host.name)?.utilization ?? 0;
+      return isOther ? [{ host, utilization: utilization }] : [];
     });
     return self === undefined ? others : [self, ...others];
   }
@@ -90,11 +89,14 @@
   /** Cores that the hosts' work takes up: as relays tell it, or summed up from what hosts tell. */
   #work(hosts: readonly DirectoryHost[]): number {
     const regions = [...new Set(hosts.map(({ host }) => host.region))];
-    const told = regions.map((region) => this.#options.peers.toldRegion(region)?.work);
+    const told = regions.map((region) => this.#options.peers.regionSummary(region)?.busyCores);
     if (told.every((work) => work !== undefined)) {
       return told.reduce((sum, work) => sum + work, 0);
     }
-    return hosts.reduce((sum, { host, busyShare }) => sum + busyShare * host.capacity, 0);
+    return hosts.reduce(
+      (sum, { host, utilization: busyShare }) => sum + busyShare * host.capacity,
+      0,
+    );
   }
 }
 
--- a/packages/entry/src/entry-host-settings.ts
+++ b/packages/entry/src/entry-host-settings.ts
@@ -1,4 +1,9 @@
-import type { LeftOut, QuotaBound, RetryBound, ShiftBound } from '@ferrylock/routing';
+import type {
+  DisabledMechanisms,
+  QuotaPolicy,
+  RetryBudgetSettings,
+  RegionShiftLimit,
+} from '@ferrylock/routing';
 
 /** What an entry host is told when it starts. */
 export interface EntryHostSettings {
@@ -15,19 +20,19 @@
   /** What it can carry, in cores. */
   readonly capacity: number;
   /** Bytes of callers' bodies that are held at a time. */
-  readonly mostHeldBodyBytes: number;
+  readonly maxBufferedBodyBytes: number;
   /** How long a planned stop may take. */
-  readonly stopMilliseconds: number;
+  readonly shutdownTimeoutMilliseconds: number;
   /** How long a leaving target serves on after it said so. */
   readonly drainMilliseconds: number;
-  readonly retryBound: RetryBound;
-  readonly shiftBound: ShiftBound;
+  readonly retryBudget: RetryBudgetSettings;
+  readonly regionShiftLimit: RegionShiftLimit;
   /** How client accounts' requests are counted. */
-  readonly quotaBound: QuotaBound;
+  readonly quotaPolicy: QuotaPolicy;
   /** Whether the whole deployment starts for the first time. */
   readonly isFirstStart: boolean;
   /** Mechanisms that are left out, to measure what they are worth. */
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
   /** Longest that callers use a directory answer. */
-  readonly longestDirectoryLifetimeMilliseconds: number;
+  readonly maxDirectoryTtlMilliseconds: number;
 }
--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from 'node:crypto';
 import { BackgroundTasks } from '@ferrylock/utils';
 import type { Clock, Random } from '@ferrylock/utils';
-import { BusyMeter } from './busy-meter.js';
+import { UtilizationMeter } from './utilization-meter.js';
 import { Directory } from './directory.js';
 import type { DirectoryAnswer } from './directory.js';
 import type { EntryHostSettings } from './entry-host-settings.js';
@@ -10,26 +10,26 @@
 import type { FleetStore } from './fleet/fleet-store.js';
 import type { FleetView } from './fleet/fleet-view.js';
 import { largeHosts } from './fleet/large-hosts.js';
-import { toldOfEpoch } from './fleet/store-position.js';
+import { reportedEpochOf } from './fleet/store-position.js';
 import { FleetMember } from './fleet-member.js';
 import { metricsText } from './metrics-text.js';
 import { PeerClient } from './peers/peer-client.js';
-import { ReportSocket } from './peers/report-socket.js';
-import { AnswerWriter } from './request/answer-writer.js';
+import { UdpTransport } from './peers/udp-transport.js';
+import { ResponseWriter } from './request/response-writer.js';
 import { BodyReader } from './request/body-reader.js';
-import type { HeaderDialect } from './request/dialect.js';
+import type { HeaderCodec } from './request/header-codec.js';
 import { RequestForwarder } from './request/request-forwarder.js';
 import { RequestMetrics } from './request/request-metrics.js';
 import { TargetClient } from './request/target-client.js';
-import { TargetWords } from './request/target-words.js';
+import { TargetSignalRecorder } from './request/target-signal-recorder.js';
 import { limitedTargets } from './routing/limited-targets.js';
 import { restingTargets } from './routing/resting-targets.js';
 import type { RoutingState } from './routing/routing-state.js';
-import { RunDelay } from './run-delay.js';
+import { EventLoopDelay } from './event-loop-delay.js';
 import { checkConnection } from './suspects/check-connection.js';
-import { TargetEnds } from './suspects/target-ends.js';
+import { TargetCrashDetector } from './suspects/target-crash-detector.js';
 import { ControlServer } from './servers/control-server.js';
-import { FrontServer } from './servers/front-server.js';
+import { TrafficServer } from './servers/traffic-server.js';
 
 /** Time between two summaries in the log. */
 const SUMMARY_MILLISECONDS = 5_000;
@@ -46,7 +46,7 @@
   readonly random: Random;
   readonly events: EventLog;
   readonly store: FleetStore;
-  readonly dialect: HeaderDialect;
+  readonly codec: HeaderCodec;
 }
 
 /** One entry host's process: callers' requests, the directory, and its part in the fleet. */
@@ -55,13 +55,13 @@
   readonly metrics = new RequestMetrics();
   readonly #options: EntryHostOptions;
   readonly #tasks: BackgroundTasks;
-  readonly #busy = new BusyMeter();
+  readonly #busy = new UtilizationMeter();
   readonly #member: FleetMember;
   readonly #client: TargetClient;
-  readonly #ends: TargetEnds;
-  readonly #words: TargetWords;
+  readonly #ends: TargetCrashDetector;
+  readonly #words: TargetSignalRecorder;
   readonly #directory: Directory;
-  readonly #front: FrontServer;
+  readonly #front: TrafficServer;
   readonly #control: ControlServer;
   #own: EntryHostRecord | undefined;
   #largeHosts: { readonly of: readonly EntryHostRecord[]; readonly names: readonly string[] };
@@ -70,37 +70,37 @@
     this.#options = options;
     const { settings, clock, events } = options;
     this.#tasks = new BackgroundTasks(events.logger);
-    const runDelay = new RunDelay(clock);
+    const runDelay = new EventLoopDelay(clock);
     this.#member = new FleetMember({
       ...options,
       peerCalls: new PeerClient(),
-      openDatagrams: (onMessage) => new ReportSocket(events, onMessage),
+      createTransport: (onMessage) => new UdpTransport(events, onMessage),
       onSweep: (lateMilliseconds) => {
         this.#busy.sample();
         runDelay.record(lateMilliseconds);
       },
-      busyShare: () => this.#busy.share,
+      utilization: () => this.#busy.utilization,
     });
     this.#largeHosts = { of: [], names: [settings.name] };
     const { view, state, peers, accounts, limits, suspects } = this.#member;
     this.#client = new TargetClient({
       clock,
       onConnected: (address, milliseconds) => {
-        state.recordConnected(address, milliseconds);
+        state.recordConnectTime(address, milliseconds);
       },
     });
-    this.#ends = new TargetEnds({
+    this.#ends = new TargetCrashDetector({
       clock,
       events,
       checkConnection,
-      onEnd: (end) => {
-        suspects.recordEnd(end);
+      onCrash: (end) => {
+        suspects.recordCrash(end);
       },
     });
-    this.#words = new TargetWords({
+    this.#words = new TargetSignalRecorder({
       ...options,
-      onLimit: (target) => {
-        limits.recordWord(target);
+      onLimitChange: (target) => {
+        limits.recordLimitChange(target);
       },
     });
     this.#directory = new Directory({
@@ -109,34 +109,34 @@
       own: () =>
         this.#member.isLeaving || this.#own === undefined
           ? undefined
-          : { host: this.#own, busyShare: this.#busy.share },
-      longestLifetimeMilliseconds: settings.longestDirectoryLifetimeMilliseconds,
+          : { host: this.#own, utilization: this.#busy.utilization },
+      maxTtlMilliseconds: settings.maxDirectoryTtlMilliseconds,
     });
     const forwarder = new RequestForwarder({
       ...options,
       state,
       accounts,
       client: this.#client,
-      ends: this.#ends,
+      crashDetector: this.#ends,
       suspects,
-      words: this.#words,
+      signalRecorder: this.#words,
       limits: limits.limits,
-      bodies: new BodyReader(clock, settings.mostHeldBodyBytes),
-      answers: new AnswerWriter({ ...options, view, metrics: this.metrics }),
+      bodyReader: new BodyReader(clock, settings.maxBufferedBodyBytes),
+      responses: new ResponseWriter({ ...options, view, metrics: this.metrics }),
       metrics: this.metrics,
       ownName: settings.name,
-      isBehind: () => runDelay.isBehind,
+      isLagging: () => runDelay.isLagging,
       hosts: () => this.#member.hostNames,
       largeHosts: () => this.#largeHostNames(),
     });
-    this.#front = new FrontServer({
+    this.#front = new TrafficServer({
       handle: (request, response, path) => forwarder.handle(request, response, path),
       onFailure: (error) => {
         events.logger.error('request handler failed', { error: String(error) });
       },
     });
     this.#control = new ControlServer({
-      changes: this.#member.changes,
+      viewExchange: this.#member.viewExchange,
       metricsText: () => this.metricsText(),
     });
     state.onConfiguration(({ limits }) => {
@@ -173,7 +173,7 @@
       beliefAgeMilliseconds: clock.now() - view.confirmedAt,
       knownRevision: view.revision,
       store: {
-        epoch: Math.max(storeProgress.epoch, toldOfEpoch(view.epoch)),
+        epoch: Math.max(storeProgress.epoch, reportedEpochOf(view.epoch)),
         revision: storeProgress.revision,
         refusedListings: storeProgress.refusedListings,
       },
@@ -182,7 +182,7 @@
       targetsKnown: services.reduce((sum, { targets }) => sum + targets.size, 0),
       logLinesDropped: events.dropped,
       unreadableRecords: events.unreadable,
-      targetsEnded: this.#ends.count,
+      targetsEnded: this.#ends.crashes,
       rests: this.#words.rests,
       unwantedSends: this.#words.unwantedSends,
       targetsSaidLeaving: this.#words.leaving,
@@ -230,12 +230,12 @@
    */
   async stop(): Promise<number> {
     const { settings, clock, events } = this.#options;
-    const stopAt = clock.now() + settings.stopMilliseconds;
+    const stopAt = clock.now() + settings.shutdownTimeoutMilliseconds;
     events.write({ event: 'stopping', inFlight: this.metrics.inFlight });
-    this.#front.beginLeaving();
+    this.#front.beginDraining();
     const withdrawn = this.#member.leave();
-    await clock.sleep(settings.stopMilliseconds * SERVING_SHARE);
-    this.#front.closeIdle();
+    await clock.sleep(settings.shutdownTimeoutMilliseconds * SERVING_SHARE);
+    this.#front.closeIdleConnections();
     while (this.metrics.inFlight > 0 && clock.now() < stopAt - CLOSING_MILLISECONDS) {
       await clock.sleep(DRAIN_CHECK_MILLISECONDS);
     }
--- a/packages/entry/src/run-delay.ts
+++ b/packages/entry/src/event-loop-delay.ts
@@ -9,7 +9,7 @@
  * Whether this process ran late lately, as while it starts on a small host, was frozen or has more work
  * than its share of a core. What it reads then may be from callers that have left meanwhile.
  */
-export class RunDelay {
+export class EventLoopDelay {
   #lateAt: number;
 
   constructor(readonly clock: Clock) {
@@ -23,7 +23,7 @@
     }
   }
 
-  get isBehind(): boolean {
+  get isLagging(): boolean {
     return this.clock.now() - this.#lateAt < BEHIND_MILLISECONDS;
   }
 }
--- a/packages/entry/src/fleet-member.ts
+++ b/packages/entry/src/fleet-member.ts
@@ -1,6 +1,6 @@
 import { BackgroundTasks, rendezvousRank } from '@ferrylock/utils';
 import type { Clock, Random } from '@ferrylock/utils';
-import { AccountDuty } from './accounts/account-duty.js';
+import { AccountLimitController } from './accounts/account-limit-controller.js';
 import type { EntryHostSettings } from './entry-host-settings.js';
 import type { EventLog } from './events.js';
 import type { EntryHostRecord } from './fleet/fleet-record.js';
@@ -9,19 +9,19 @@
 import { HostRegistration } from './fleet/host-registration.js';
 import { StoreHealth } from './fleet/store-health.js';
 import type { StoreProgress } from './fleet/store-progress.js';
-import { ReturnDuty } from './fleet/return-duty.js';
+import { StoreRestoreController } from './fleet/store-restore-controller.js';
 import { StoreWatch } from './fleet/store-watch.js';
-import { LimitDuty } from './limits/limit-duty.js';
-import type { OpenDatagrams } from './peers/datagrams.js';
+import { TargetLimitController } from './limits/target-limit-controller.js';
+import type { CreateTransport } from './peers/datagram-transport.js';
 import type { PeerCalls } from './peers/peer-calls.js';
 import { PeerExchange } from './peers/peer-exchange.js';
 import { PeerLoads } from './peers/peer-loads.js';
 import { PeerTable } from './peers/peer-table.js';
 import { ViewExchange } from './peers/view-exchange.js';
-import { PlacementDuty } from './routing/placement-duty.js';
-import { SuspectDuty } from './suspects/suspect-duty.js';
+import { PlacementController } from './routing/placement-controller.js';
+import { SuspectController } from './suspects/suspect-controller.js';
 import { RoutingState } from './routing/routing-state.js';
-import { WatchDuty } from './watch-duty.js';
+import { WatcherSelection } from './watcher-selection.js';
 
 /** Time between two looks at what has fallen silent or vanished. */
 const SWEEP_MILLISECONDS = 200;
@@ -37,11 +37,11 @@
   readonly events: EventLog;
   readonly store: FleetStore;
   readonly peerCalls: PeerCalls;
-  readonly openDatagrams: OpenDatagrams;
+  readonly createTransport: CreateTransport;
   /** Called a few times a second, with the milliseconds by which the call is late. */
   readonly onSweep: (lateMilliseconds: number) => void;
   /** Part of this host's time in which it has work, from 0 to 1. */
-  readonly busyShare: () => number;
+  readonly utilization: () => number;
 }
 
 /**
@@ -53,21 +53,21 @@
   readonly state: RoutingState;
   readonly peers: PeerTable;
   /** Keeps client accounts to their limits. */
-  readonly accounts: AccountDuty;
+  readonly accounts: AccountLimitController;
   /** Keeps hosts together to the limits that targets name. */
-  readonly limits: LimitDuty;
+  readonly limits: TargetLimitController;
   /** Turns requests away that end targets. */
-  readonly suspects: SuspectDuty;
+  readonly suspects: SuspectController;
   /** Answers other hosts' calls. */
-  readonly changes: ViewExchange;
+  readonly viewExchange: ViewExchange;
   readonly #options: FleetMemberOptions;
   readonly #tasks: BackgroundTasks;
   readonly #health: StoreHealth;
   readonly #loads: PeerLoads;
-  readonly #placement: PlacementDuty;
+  readonly #placement: PlacementController;
   readonly #exchange: PeerExchange;
   readonly #watch: StoreWatch;
-  readonly #returns: ReturnDuty;
+  readonly #returns: StoreRestoreController;
   #registration: HostRegistration | undefined;
   #hosts: readonly EntryHostRecord[] = [];
   #hostNames: readonly string[];
@@ -76,22 +76,22 @@
   constructor(options: FleetMemberOptions) {
     this.#options = options;
     const { settings, clock, events } = options;
-    const view = new FleetView(settings.leftOut);
+    const view = new FleetView(settings.disabledMechanisms);
     this.view = view;
     this.#hostNames = [settings.name];
     this.#tasks = new BackgroundTasks(events.logger);
     this.#health = new StoreHealth(clock, events);
     this.peers = new PeerTable(clock, events, (name) => this.#registeredIncarnation(name));
-    this.limits = new LimitDuty({
+    this.limits = new TargetLimitController({
       ...options,
       ownName: settings.name,
-      leftOut: settings.leftOut,
+      disabledMechanisms: settings.disabledMechanisms,
       hosts: () => this.#hosts,
       hostNames: () => this.#hostNames,
-      isHeard: (host) => this.peers.isAlive(host),
+      isAlive: (host) => this.peers.isAlive(host),
       targetOfStart: (start) => this.state.targetOfStart(start),
-      onNews: () => {
-        this.#exchange.tellNews('own');
+      onUpdate: () => {
+        this.#exchange.propagateUrgent('own');
       },
     });
     this.state = new RoutingState({
@@ -102,34 +102,34 @@
       view,
       ownName: settings.name,
       ownRegion: settings.region,
-      storeReturnedAt: () => this.#health.returnedAt,
+      storeAvailableSince: () => this.#health.availableSince,
     });
     this.#loads = new PeerLoads(clock, this.state);
-    this.accounts = new AccountDuty({
+    this.accounts = new AccountLimitController({
       ...options,
-      bound: settings.quotaBound,
+      bound: settings.quotaPolicy,
       ownName: settings.name,
       isFirstStart: settings.isFirstStart,
       hosts: () => this.#hosts,
-      isHeard: (host) => this.peers.isAlive(host),
-      onRush: () => {
-        this.#exchange.report();
+      isAlive: (host) => this.peers.isAlive(host),
+      onSurge: () => {
+        this.#exchange.triggerRound();
       },
     });
-    this.suspects = new SuspectDuty({
+    this.suspects = new SuspectController({
       ...options,
       view,
       hosts: () => this.#hostNames.length,
-      turnOf: (fingerprint) =>
+      writeOrderOf: (fingerprint) =>
         rendezvousRank(fingerprint, this.#hostNames, (name) => name).indexOf(settings.name),
-      onNews: (source) => {
-        this.#exchange.tellNews(source);
+      onUpdate: (source) => {
+        this.#exchange.propagateUrgent(source);
       },
     });
     this.state.onConfiguration(({ accounts = [] }) => {
       this.accounts.quotas.setAccounts(accounts);
     });
-    this.#placement = new PlacementDuty({
+    this.#placement = new PlacementController({
       clock,
       view,
       peers: this.peers,
@@ -137,8 +137,8 @@
       ownName: settings.name,
       ownRegion: settings.region,
     });
-    const storeAnsweredAt = (): number => this.#health.answeredAt;
-    this.changes = new ViewExchange({
+    const storeAnsweredAt = (): number => this.#health.lastResponseAt;
+    this.viewExchange = new ViewExchange({
       ...options,
       view,
       client: options.peerCalls,
@@ -148,16 +148,16 @@
       ...options,
       view,
       peers: this.peers,
-      changes: this.changes,
+      viewExchange: this.viewExchange,
       storeAnsweredAt,
       loads: this.#loads,
       accounts: this.accounts,
       limits: this.limits,
       suspects: this.suspects,
       isLeaving: () => this.#isLeaving,
-      asked: () => this.#placement.asked,
+      asked: () => this.#placement.ownDemand,
     });
-    const duty = new WatchDuty({
+    const duty = new WatcherSelection({
       clock,
       view,
       isRelay: () => this.#exchange.isRelay,
@@ -167,22 +167,22 @@
     });
     this.#watch = new StoreWatch({
       ...options,
-      leftOut: settings.leftOut,
+      disabledMechanisms: settings.disabledMechanisms,
       view,
       health: this.#health,
-      isNeeded: () => duty.isNeeded,
-      turnMilliseconds: () => duty.turnMilliseconds,
-      askOthers: (position, listed) => this.#returns.askOthers(position, listed),
+      isWatcher: () => duty.isWatcher,
+      relistDelayMilliseconds: () => duty.relistDelayMilliseconds,
+      queryPeers: (position, listed) => this.#returns.queryPeers(position, listed),
     });
-    this.#returns = new ReturnDuty({
+    this.#returns = new StoreRestoreController({
       ...options,
       view,
-      changes: this.changes,
+      viewExchange: this.viewExchange,
       hosts: () => this.#hostNames.length,
     });
-    view.onReturn(() => {
-      this.#health.recordReturn();
-      this.#registration?.recordReturn();
+    view.onRestore(() => {
+      this.#health.recordRestore();
+      this.#registration?.recordRestore();
     });
     view.onChanges((changes) => {
       if (changes.some(({ record }) => record === undefined || record.kind === 'entryHost')) {
@@ -230,7 +230,7 @@
   /** Tells all that callers are to go elsewhere; resolves once the store knows it too. */
   async leave(): Promise<void> {
     this.#isLeaving = true;
-    this.#exchange.report();
+    this.#exchange.triggerRound();
     await this.#registration?.stop();
   }
 
@@ -267,7 +267,7 @@
       await clock.sleep(SEED_PAUSE_MILLISECONDS, signal);
       for (const seed of seeds) {
         if (this.#mustAsk(seeds, signal)) {
-          await this.changes.fetchFrom(seed);
+          await this.viewExchange.fetchFrom(seed);
         }
       }
     }
--- a/packages/entry/src/fleet/compare-records.ts
+++ b/packages/entry/src/fleet/compare-records.ts
@@ -1,4 +1,4 @@
-import { compareStarts } from '@ferrylock/routing';
+import { compareIncarnations } from '@ferrylock/routing';
 import type { TargetRecord } from '@ferrylock/routing';
 import type { FleetRecord } from './fleet-record.js';
 
@@ -20,7 +20,7 @@
 }
 
 function compareTargets(one: TargetRecord, other: TargetRecord): RecordOrder {
-  const start = compareStarts(one, other);
+  const start = compareIncarnations(one, other);
   if (start !== 'same') {
     return start === 'later' ? 'newer' : 'older';
   }
--- a/packages/entry/src/fleet/fleet-view.ts
+++ b/packages/entry/src/fleet/fleet-view.ts
@@ -1,10 +1,10 @@
-import type { LeftOut } from '@ferrylock/routing';
-import { NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import type { DisabledMechanisms } from '@ferrylock/routing';
+import { NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import type { FleetDelta } from './fleet-delta.js';
 import type { FleetChange, FleetRecord } from './fleet-record.js';
 import type { StorePosition } from './store-position.js';
 import { epochOf, isAfter, laterOf, NO_POSITION, positionOf } from './store-position.js';
-import type { StoreReturn } from './store-return.js';
+import type { StoreRestore } from './store-restore.js';
 import { ViewEntries } from './view-entries.js';
 import { ViewHistory } from './view-history.js';
 
@@ -27,10 +27,10 @@
   readonly #entries: ViewEntries;
   readonly #history = new ViewHistory();
   readonly #listeners: FleetListener[] = [];
-  readonly #returnListeners: ((returned: StoreReturn) => void)[] = [];
+  readonly #returnListeners: ((returned: StoreRestore) => void)[] = [];
 
   /** @param leftOut - mechanisms to do without, to compare with */
-  constructor(leftOut: LeftOut = NOTHING_LEFT_OUT) {
+  constructor(leftOut: DisabledMechanisms = NO_DISABLED_MECHANISMS) {
     this.#entries = new ViewEntries(!leftOut.has('kept-records'));
   }
 
@@ -52,18 +52,18 @@
   }
 
   /** What is known beyond what the store holds since it came back from a copy. */
-  get kept(): FleetChange[] {
-    return this.#entries.kept;
+  get retained(): FleetChange[] {
+    return this.#entries.retained;
   }
 
   /** Names what is kept, for hosts to see whether they keep the same; undefined where nothing is. */
-  get keptMark(): string | undefined {
-    return this.#entries.keptMark;
+  get retainedDigest(): string | undefined {
+    return this.#entries.retainedDigest;
   }
 
-  /** Whether all that is known is what the store holds, so that there is nothing to {@link settle}. */
-  get isSettled(): boolean {
-    return this.#entries.isSettled;
+  /** Whether all that is known is what the store holds, so that there is nothing to {@link reconcile}. */
+  get isReconciled(): boolean {
+    return this.#entries.isReconciled;
   }
 
   /** Everything of a kind; the same array while nothing of the kind changes. */
@@ -74,13 +74,13 @@
   }
 
   /** Revision of a key in the store's present life, as far as is known; 0 where it holds none. */
-  writtenRevision(key: string): number {
-    return this.#entries.writtenRevision(key);
+  storedRevision(key: string): number {
+    return this.#entries.storedRevision(key);
   }
 
   /** Whether more is known of a key than the store holds. */
-  isKept(key: string): boolean {
-    return this.#entries.isKept(key);
+  isRetained(key: string): boolean {
+    return this.#entries.isRetained(key);
   }
 
   /** Calls back after each step forward, with the changes that were new. */
@@ -89,7 +89,7 @@
   }
 
   /** Calls back when it is learned that the store came back from a copy, before the changes that this brings. */
-  onReturn(listener: (returned: StoreReturn) => void): void {
+  onRestore(listener: (returned: StoreRestore) => void): void {
     this.#returnListeners.push(listener);
   }
 
@@ -112,7 +112,7 @@
     const isReturn = epochOf(upTo) > this.epoch;
     const news = this.#takeByLives(delta, upTo);
     if (isReturn) {
-      this.#history.enter(upTo);
+      this.#history.beginEpoch(upTo);
     }
     this.#advance(upTo, { epoch: epochOf(upTo), revision: lastChange });
     this.#tell(former, news);
@@ -127,7 +127,7 @@
   replace(position: StorePosition, entries: readonly FleetChange[]): boolean {
     const former = this.position;
     if (isAfter(former, position)) {
-      const newer = entries.filter((change) => this.#entries.isNewerByItself(change));
+      const newer = entries.filter((change) => this.#entries.hasNewerVersion(change));
       this.#tell(former, this.#take(newer));
       return false;
     }
@@ -141,32 +141,32 @@
   }
 
   /** What leads from a position to the present one, or undefined where that is no longer kept. */
-  deltaAfter(position: StorePosition): FleetDelta | undefined {
+  deltaSince(position: StorePosition): FleetDelta | undefined {
     const changes = this.#history.since(position, this.epoch);
-    return changes && { ...this.#deltaHead(position), changes, kept: this.kept };
+    return changes && { ...this.#deltaHead(position), changes, kept: this.retained };
   }
 
   /** Everything, for who knows nothing that it could be told by. */
-  whole(): FleetDelta {
-    const words = this.#entries.words.map((change) => ({ ...change, isListed: true }));
+  snapshot(): FleetDelta {
+    const words = this.#entries.shadowed.map((change) => ({ ...change, isListed: true }));
     return { ...this.#deltaHead(NO_POSITION), changes: [...this.entries, ...words] };
   }
 
   /** Ends the time after the store's return in which others write again what it had lost. */
-  settle(): void {
-    this.#notify(this.#entries.settle());
+  reconcile(): void {
+    this.#notify(this.#entries.reconcile());
   }
 
   /** Each life of the store in turn: what is new of one, then what the next differs in. Of one that is over, only what is newer by itself. */
   #takeByLives({ changes, kept = [] }: FleetDelta, upTo: StorePosition): FleetChange[] {
     if (this.isEmpty) {
-      this.#entries.beginLife(epochOf(upTo), new Set());
+      this.#entries.beginEpoch(epochOf(upTo), new Set());
     }
     if (this.isEmpty || epochOf(upTo) === this.epoch) {
       return this.#take([...changes, ...kept]);
     }
     if (epochOf(upTo) < this.epoch) {
-      return this.#take(changes.filter((change) => this.#entries.isNewerByItself(change)));
+      return this.#take(changes.filter((change) => this.#entries.hasNewerVersion(change)));
     }
     const lives = new Set([...changes.map(epochOf), epochOf(upTo)]);
     const news = [...lives]
@@ -182,8 +182,8 @@
   }
 
   #beginLife(epoch: number, changes: readonly FleetChange[]): void {
-    this.#history.endLife(this.position);
-    this.#entries.beginLife(epoch, new Set(changes.map(({ key }) => key)));
+    this.#history.endEpoch(this.position);
+    this.#entries.beginEpoch(epoch, new Set(changes.map(({ key }) => key)));
     this.position = { epoch, revision: 0 };
     this.lastChange = { epoch, revision: 0 };
   }
@@ -195,15 +195,15 @@
     const keptElsewhere = entries.filter((change) => epochOf(change) < epoch);
     const keys = new Set(listed.map(({ key }) => key));
     const changed = listed
-      .filter((change) => !this.#entries.isSame(change))
+      .filter((change) => !this.#entries.isUnchanged(change))
       .map((change) => ({ ...change, isListed: true }));
-    const held = new Set([...this.entries, ...this.#entries.words].map(({ key }) => key));
+    const held = new Set([...this.entries, ...this.#entries.shadowed].map(({ key }) => key));
     const missing = [...held]
       .filter((key) => !keys.has(key))
       .map((key) => ({ key, epoch, revision, isListed: true }));
     const difference = [...changed, ...missing].sort((one, other) => one.revision - other.revision);
     this.#beginLife(epoch, difference);
-    this.#history.enter(position);
+    this.#history.beginEpoch(position);
     this.lastChange = positionOf(position);
     return [...this.#take(difference), ...this.#take(keptElsewhere)];
   }
@@ -212,13 +212,13 @@
   #takeListing(position: StorePosition, entries: readonly FleetChange[]): FleetChange[] {
     const { epoch, revision } = positionOf(position);
     if (this.isEmpty) {
-      this.#entries.beginLife(epoch, new Set());
+      this.#entries.beginEpoch(epoch, new Set());
     }
     const ofThisLife = entries.filter((change) => epochOf(change) === epoch);
     const listed = new Set(ofThisLife.map(({ key }) => key));
-    this.#entries.dropWords(listed);
+    this.#entries.dropShadowed(listed);
     const gone = this.entries
-      .filter((change) => !this.#entries.isOfFormerLife(change))
+      .filter((change) => !this.#entries.isFromPreviousEpoch(change))
       .filter(({ record }) => record?.kind !== 'configuration')
       .filter(({ key, revision: changed }) => !listed.has(key) && changed <= revision)
       .map(({ key }) => ({ key, epoch, revision }));
@@ -226,7 +226,7 @@
     for (const change of gone) {
       this.#put(change);
     }
-    this.#history.restart(positionOf(position));
+    this.#history.reset(positionOf(position));
     return [...news, ...gone];
   }
 
@@ -234,13 +234,13 @@
   #take(changes: readonly FleetChange[]): FleetChange[] {
     const news: FleetChange[] = [];
     for (const change of changes) {
-      const isNews = this.#entries.isNews(change);
+      const isNews = this.#entries.isNewer(change);
       if (isNews) {
         this.#put(change);
         news.push(change);
       }
       // Others may know less of the key, and are to hear what the store holds. What is of a former life they hear as kept.
-      const isTold = isNews ? epochOf(change) === this.epoch : this.#entries.keepWord(change);
+      const isTold = isNews ? epochOf(change) === this.epoch : this.#entries.recordShadowed(change);
       if (isTold) {
         this.#history.add([change]);
       }
@@ -272,10 +272,10 @@
 
   #tell(former: StorePosition, news: readonly FleetChange[]): void {
     if (this.epoch > epochOf(former) && former.revision > 0) {
-      const kept = this.kept.map(({ key }) => key);
+      const kept = this.retained.map(({ key }) => key);
       const { missing } = this.#entries;
       for (const listener of this.#returnListeners) {
-        listener({ former, position: this.position, kept, missing });
+        listener({ previous: former, position: this.position, retained: kept, missing });
       }
     }
     this.#notify(news);
--- a/packages/entry/src/fleet/host-registration.ts
+++ b/packages/entry/src/fleet/host-registration.ts
@@ -10,13 +10,13 @@
 const RENEWALS_PER_LEASE = 3;
 const RETRY_MILLISECONDS = 700;
 /** Longest that a host of a small fleet waits after the store's return: all are to be back within two seconds. */
-const RETURN_SPREAD_MILLISECONDS = 1_200;
+const MIN_RESTORE_SPREAD_MILLISECONDS = 1_200;
 /** What each host of a large one adds, so that their calls stay within what a store bears. */
-const RETURN_SPREAD_PER_HOST_MILLISECONDS = 6;
+const RESTORE_SPREAD_PER_HOST_MILLISECONDS = 6;
 
 /** Longest that hosts take after the store's return until they look for their records, in milliseconds. */
-export function returnSpreadMilliseconds(hosts: number): number {
-  return Math.max(RETURN_SPREAD_MILLISECONDS, hosts * RETURN_SPREAD_PER_HOST_MILLISECONDS);
+export function restoreSpreadMilliseconds(hosts: number): number {
+  return Math.max(MIN_RESTORE_SPREAD_MILLISECONDS, hosts * RESTORE_SPREAD_PER_HOST_MILLISECONDS);
 }
 
 export interface HostRegistrationOptions {
@@ -35,7 +35,7 @@
   readonly #tasks: BackgroundTasks;
   #lease: HostLease | undefined;
   /** Whether the lease may be of a former life of the store. */
-  #isDoubted = false;
+  #mustVerifyLease = false;
   #pause = new AbortController();
 
   constructor(options: HostRegistrationOptions) {
@@ -48,8 +48,8 @@
   }
 
   /** The store came back from a copy: what it holds of this host is looked for before anything else is done with it. */
-  recordReturn(): void {
-    this.#isDoubted = true;
+  recordRestore(): void {
+    this.#mustVerifyLease = true;
     this.#pause.abort();
   }
 
@@ -75,24 +75,24 @@
   async #run(signal: AbortSignal): Promise<void> {
     const { random } = this.#options;
     while (!signal.aborted) {
-      const isKept = await this.#keep(signal);
-      if (!this.#isDoubted) {
+      const isKept = await this.#maintain(signal);
+      if (!this.#mustVerifyLease) {
         const pause = isKept ? LEASE_MILLISECONDS / RENEWALS_PER_LEASE : RETRY_MILLISECONDS;
         await this.#sleep(jittered(random, pause), signal);
       }
     }
   }
 
-  async #keep(signal: AbortSignal): Promise<boolean> {
+  async #maintain(signal: AbortSignal): Promise<boolean> {
     if (this.#lease === undefined) {
       return this.#register();
     }
-    return this.#isDoubted ? this.#findLease(this.#lease, signal) : this.#renew(this.#lease);
+    return this.#mustVerifyLease ? this.#findLease(this.#lease, signal) : this.#renew(this.#lease);
   }
 
   async #register(): Promise<boolean> {
     const { store, host } = this.#options;
-    this.#isDoubted = false;
+    this.#mustVerifyLease = false;
     const lease = await store.register(host, LEASE_MILLISECONDS);
     if (lease.isOk()) {
       this.#lease = lease.value;
@@ -108,21 +108,21 @@
       }
       return false;
     }
-    this.#isDoubted ||= renewed.value.epoch !== lease.epoch;
+    this.#mustVerifyLease ||= renewed.value.epoch !== lease.epoch;
     return true;
   }
 
   /** A record that came back with the copy keeps its lease; only where there is none is it written again. */
   async #findLease(lease: HostLease, signal: AbortSignal): Promise<boolean> {
     const { random, store, host, hosts } = this.#options;
-    await this.#sleep(returnSpreadMilliseconds(hosts()) * random.next(), signal);
+    await this.#sleep(restoreSpreadMilliseconds(hosts()) * random.next(), signal);
     if (signal.aborted) {
       return false;
     }
-    this.#isDoubted = false;
+    this.#mustVerifyLease = false;
     const found = await store.findLease(host, lease);
     if (found.isErr()) {
-      this.#isDoubted = true;
+      this.#mustVerifyLease = true;
       await this.#sleep(jittered(random, RETRY_MILLISECONDS), signal);
       return false;
     }
--- a/packages/entry/src/fleet/store-health.ts
+++ b/packages/entry/src/fleet/store-health.ts
@@ -4,9 +4,9 @@
 /** Whether the store answers this entry host, and since when. */
 export class StoreHealth {
   /** When it last began to answer after a fault; infinite while it does not answer. */
-  returnedAt = -Infinity;
+  availableSince = -Infinity;
   /** When the store last answered this host itself. */
-  answeredAt = -Infinity;
+  lastResponseAt = -Infinity;
   #lostAt: number | undefined;
 
   constructor(
@@ -14,7 +14,7 @@
     readonly events: EventLog,
   ) {}
 
-  get isLost(): boolean {
+  get isUnavailable(): boolean {
     return this.#lostAt !== undefined;
   }
 
@@ -24,7 +24,7 @@
    * @param at - when it gave the answer
    */
   recordSuccess(at: number): void {
-    this.answeredAt = Math.max(this.answeredAt, at);
+    this.lastResponseAt = Math.max(this.lastResponseAt, at);
     if (this.#lostAt !== undefined) {
       this.#regain(this.#lostAt);
     }
@@ -41,9 +41,9 @@
   }
 
   /** The store came back from a copy; targets write again what it had lost of them. */
-  recordReturn(): void {
-    if (!this.isLost) {
-      this.returnedAt = this.clock.now();
+  recordRestore(): void {
+    if (!this.isUnavailable) {
+      this.availableSince = this.clock.now();
     }
   }
 
@@ -52,7 +52,7 @@
       return;
     }
     this.#lostAt = this.clock.now();
-    this.returnedAt = Infinity;
+    this.availableSince = Infinity;
     this.events.write({ event: 'store-lost', call, detail });
   }
 
@@ -60,6 +60,6 @@
     const now = this.clock.now();
     this.events.write({ event: 'store-regained', lostMilliseconds: Math.round(now - lostAt) });
     this.#lostAt = undefined;
-    this.returnedAt = now;
+    this.availableSince = now;
   }
 }
--- a/packages/entry/src/fleet/store-position.ts
+++ b/packages/entry/src/fleet/store-position.ts
@@ -3,7 +3,7 @@
  * counts its revisions from the copy's and gives numbers out again, so that a revision alone orders nothing beyond one life.
  */
 export interface StorePosition {
-  /** Rises with each return from a copy, by {@link epochOfTold}; absent, as 0, before the store tells of any. */
+  /** Rises with each return from a copy, by {@link epochFromReported}; absent, as 0, before the store tells of any. */
   readonly epoch?: number | undefined;
   readonly revision: number;
 }
@@ -12,16 +12,16 @@
 export const NO_POSITION: StorePosition = { epoch: 0, revision: 0 };
 
 /** Returns that the store does not tell of, between two that it does. */
-const UNTOLD_RETURNS = 1_000;
+const EPOCHS_PER_REPORTED_EPOCH = 1_000;
 
 /** The number that hosts go by for a number of returns that the store tells: it leaves room for those that it does not tell of. */
-export function epochOfTold(told: number): number {
-  return told * UNTOLD_RETURNS;
+export function epochFromReported(told: number): number {
+  return told * EPOCHS_PER_REPORTED_EPOCH;
 }
 
 /** The returns that the store told of, as of an epoch. */
-export function toldOfEpoch(epoch: number): number {
-  return Math.floor(epoch / UNTOLD_RETURNS);
+export function reportedEpochOf(epoch: number): number {
+  return Math.floor(epoch / EPOCHS_PER_REPORTED_EPOCH);
 }
 
 export function epochOf({ epoch = 0 }: StorePosition): number {
--- a/packages/entry/src/fleet/store-progress.ts
+++ b/packages/entry/src/fleet/store-progress.ts
@@ -1,9 +1,9 @@
 import type { EventLog } from '../events.js';
 import type { StorePosition } from './store-position.js';
-import { epochOf, epochOfTold, toldOfEpoch } from './store-position.js';
+import { epochOf, epochFromReported, reportedEpochOf } from './store-position.js';
 
 /** How far the store has come by one of its answers. */
-interface ToldProgress {
+interface ReportedProgress {
   /** How often it has come back from a copy; absent where it does not tell. */
   readonly epoch?: number | undefined;
   readonly revision?: number;
@@ -23,7 +23,10 @@
   constructor(readonly events: EventLog) {}
 
   /** @param knownRevision - up to which this host knows what the store held */
-  record({ epoch = this.epoch, revision = this.revision }: ToldProgress, knownRevision: number) {
+  record(
+    { epoch = this.epoch, revision = this.revision }: ReportedProgress,
+    knownRevision: number,
+  ) {
     if (epoch > this.epoch && knownRevision > 0) {
       const formerEpoch = this.epoch;
       this.events.write({ event: 'store-epoch', epoch, formerEpoch, revision, knownRevision });
@@ -54,20 +57,20 @@
  *
  * @param known - what was known when the store was asked
  */
-export function lifeOfAnswer(told: number | undefined, known: StorePosition): number {
+export function epochOfResponse(told: number | undefined, known: StorePosition): number {
   const epoch = epochOf(known);
-  return told === undefined || told <= toldOfEpoch(epoch) ? epoch : epochOfTold(told);
+  return told === undefined || told <= reportedEpochOf(epoch) ? epoch : epochFromReported(told);
 }
 
 /**
  * The life of the store that a listing is of. One that ends before what was known when it was asked for shows that the store
  * has come back from a copy, though it does not tell.
  */
-export function lifeOfListing(
-  told: ToldProgress & { readonly revision: number },
+export function epochOfListing(
+  told: ReportedProgress & { readonly revision: number },
   known: StorePosition,
 ) {
-  const epoch = lifeOfAnswer(told.epoch, known);
+  const epoch = epochOfResponse(told.epoch, known);
   const isBack = epoch === epochOf(known) && told.revision < known.revision;
   return isBack ? epoch + 1 : epoch;
 }
--- a/packages/entry/src/fleet/store-watch.ts
+++ b/packages/entry/src/fleet/store-watch.ts
@@ -1,4 +1,4 @@
-import type { LeftOut } from '@ferrylock/routing';
+import type { DisabledMechanisms } from '@ferrylock/routing';
 import { BackgroundTasks, jittered } from '@ferrylock/utils';
 import type { Clock, Random } from '@ferrylock/utils';
 import type { EventLog } from '../events.js';
@@ -8,7 +8,7 @@
 import type { StoreHealth } from './store-health.js';
 import type { StorePosition } from './store-position.js';
 import { epochOf, isAfter } from './store-position.js';
-import { lifeOfAnswer, lifeOfListing, StoreProgress } from './store-progress.js';
+import { epochOfResponse, epochOfListing, StoreProgress } from './store-progress.js';
 
 /** How long a watch waits at the store. Its end confirms that the store and the way to it work. */
 const WAIT_MILLISECONDS = 1_000;
@@ -17,7 +17,7 @@
 /** Longest that a prompt answer was under way. */
 const TRANSIT_MILLISECONDS = 100;
 /** Pause after changes, so that those made in quick succession come in one answer. */
-const GATHER_MILLISECONDS = 20;
+const BATCH_MILLISECONDS = 20;
 /** Pause of a host that leaves the watching to others, before it looks again. */
 const IDLE_MILLISECONDS = 250;
 /** First pause after a failed call. */
@@ -32,23 +32,23 @@
   readonly store: FleetStore;
   readonly view: FleetView;
   readonly health: StoreHealth;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
   /** Whether this host is to wait at the store now, rather than hear from others who do. */
-  readonly isNeeded: () => boolean;
+  readonly isWatcher: () => boolean;
   /** How long this host lets others go before it reads everything anew, in milliseconds. */
-  readonly turnMilliseconds: () => number;
+  readonly relistDelayMilliseconds: () => number;
   /**
    * Asks other hosts what they know beyond the first listing of a host that starts: of a store that came back from a copy, they
    * may know more than it holds. The function given back takes it over.
    */
-  readonly askOthers: (
+  readonly queryPeers: (
     position: StorePosition,
     listed: readonly FleetChange[],
   ) => Promise<() => void>;
 }
 
 /** What the store answered, and when. */
-interface Answered {
+interface StoreResponse {
   readonly source: 'list' | 'watch';
   readonly confirmedAt: number;
   readonly changes: readonly FleetChange[];
@@ -77,14 +77,14 @@
   }
 
   async #run(signal: AbortSignal): Promise<void> {
-    const { clock, random, isNeeded, view } = this.#options;
+    const { clock, random, isWatcher: isNeeded, view } = this.#options;
     while (!signal.aborted) {
       if (!isNeeded()) {
         await clock.sleep(IDLE_MILLISECONDS, signal);
         continue;
       }
       const asked = view.isEmpty ? await this.#list() : await this.#wait(signal);
-      const failure = asked?.kind === 'history-lost' ? await this.#readAnew(signal) : asked;
+      const failure = asked?.kind === 'history-lost' ? await this.#relist(signal) : asked;
       if (failure !== undefined) {
         await clock.sleep(jittered(random, RETRY_MILLISECONDS), signal);
       }
@@ -95,8 +95,14 @@
    * Reads everything, in this host's turn. Hosts that come later mostly hear of it from those before, and the store is not asked
    * for everything by all of them at once, nor again and again by one.
    */
-  async #readAnew(signal: AbortSignal): Promise<FleetStoreFailure | undefined> {
-    const { clock, random, view, turnMilliseconds, leftOut } = this.#options;
+  async #relist(signal: AbortSignal): Promise<FleetStoreFailure | undefined> {
+    const {
+      clock,
+      random,
+      view,
+      relistDelayMilliseconds: turnMilliseconds,
+      disabledMechanisms: leftOut,
+    } = this.#options;
     if (leftOut.has('reading-in-turns')) {
       return this.#list();
     }
@@ -108,7 +114,13 @@
 
   /** Reads everything. */
   async #list(): Promise<FleetStoreFailure | undefined> {
-    const { clock, store, view, askOthers, leftOut } = this.#options;
+    const {
+      clock,
+      store,
+      view,
+      queryPeers: askOthers,
+      disabledMechanisms: leftOut,
+    } = this.#options;
     const askedAt = clock.now();
     const known = view.position;
     this.#listedAt = askedAt;
@@ -117,7 +129,9 @@
       return this.#failed('list', listing.error);
     }
     const { revision } = listing.value;
-    const epoch = leftOut.has('store-lives') ? epochOf(known) : lifeOfListing(listing.value, known);
+    const epoch = leftOut.has('store-lives')
+      ? epochOf(known)
+      : epochOfListing(listing.value, known);
     const changes = listing.value.changes.map((change) => ({ ...change, epoch }));
     const takeTold = view.isEmpty ? await askOthers({ epoch, revision }, changes) : undefined;
     const knownRevision = view.revision;
@@ -130,7 +144,7 @@
   }
 
   async #wait(signal: AbortSignal): Promise<FleetStoreFailure | undefined> {
-    const { clock, store, view, leftOut } = this.#options;
+    const { clock, store, view, disabledMechanisms: leftOut } = this.#options;
     const askedAt = clock.now();
     const after = view.position;
     const answer = await store.waitForChanges(after.revision, WAIT_MILLISECONDS);
@@ -139,7 +153,7 @@
     }
     const { revision } = answer.value;
     const told = leftOut.has('store-lives') ? undefined : answer.value.epoch;
-    const epoch = lifeOfAnswer(told, after);
+    const epoch = epochOfResponse(told, after);
     this.progress.record(answer.value, view.revision);
     if (epoch !== epochOf(after) || revision < after.revision) {
       // The numbers after which changes were asked for are of another life than the answer's.
@@ -151,12 +165,12 @@
     const confirmedAt = answeredAt(askedAt, clock.now());
     this.#succeeded({ epoch, revision }, { source: 'watch', confirmedAt, changes });
     if (changes.length > 0) {
-      await clock.sleep(GATHER_MILLISECONDS, signal);
+      await clock.sleep(BATCH_MILLISECONDS, signal);
     }
     return undefined;
   }
 
-  #succeeded(position: StorePosition, { source, confirmedAt, changes }: Answered): void {
+  #succeeded(position: StorePosition, { source, confirmedAt, changes }: StoreResponse): void {
     const { view, health, events } = this.#options;
     if (view.epoch === epochOf(position)) {
       view.confirm(view.lastChange, confirmedAt);
--- a/packages/entry/src/fleet/view-entries.ts
+++ b/packages/entry/src/fleet/view-entries.ts
@@ -2,7 +2,7 @@
 import { compareRecords } from './compare-records.js';
 import type { RecordOrder } from './compare-records.js';
 import type { FleetChange, FleetRecord } from './fleet-record.js';
-import { FormerStarts } from './former-starts.js';
+import { SupersededRecords } from './superseded-records.js';
 import type { StorePosition } from './store-position.js';
 import { epochOf, isAfter } from './store-position.js';
 
@@ -18,15 +18,15 @@
   epoch = 0;
   readonly #latest = new Map<string, FleetChange>();
   /** What the store holds under keys of which more is known. */
-  readonly #words = new Map<string, FleetChange>();
-  readonly #formerStarts = new FormerStarts();
+  readonly #shadowed = new Map<string, FleetChange>();
+  readonly #formerStarts = new SupersededRecords();
   /** What was asked for of each kind, until a record of the kind changes. */
   readonly #records = new Map<FleetRecord['kind'], readonly FleetRecord[]>();
-  #keptMark: string | undefined;
+  #retainedDigest: string | undefined;
   #isKeptMarkKnown = true;
 
-  /** @param keepsRecords - whether what is known beyond a store that came back from a copy is kept */
-  constructor(readonly keepsRecords: boolean) {}
+  /** @param retainsRecords - whether what is known beyond a store that came back from a copy is kept */
+  constructor(readonly retainsRecords: boolean) {}
 
   /** Everything held, without what is gone. */
   get present(): FleetChange[] {
@@ -34,35 +34,37 @@
   }
 
   /** What is known beyond what the store holds since it came back from a copy. */
-  get kept(): FleetChange[] {
-    return this.present.filter((change) => this.isOfFormerLife(change));
+  get retained(): FleetChange[] {
+    return this.present.filter((change) => this.isFromPreviousEpoch(change));
   }
 
   /** What the store holds under keys of which more is known. */
-  get words(): FleetChange[] {
-    return [...this.#words.values()].filter(({ record }) => record !== undefined);
+  get shadowed(): FleetChange[] {
+    return [...this.#shadowed.values()].filter(({ record }) => record !== undefined);
   }
 
   /** Of what is kept, the keys that the store holds no more. */
   get missing(): string[] {
-    const keys = this.kept.map(({ key }) => key);
-    return keys.filter((key) => this.#words.get(key)?.record === undefined);
+    const keys = this.retained.map(({ key }) => key);
+    return keys.filter((key) => this.#shadowed.get(key)?.record === undefined);
   }
 
   /** Names what is kept, for hosts to see whether they keep the same; undefined where nothing is. */
-  get keptMark(): string | undefined {
+  get retainedDigest(): string | undefined {
     if (!this.#isKeptMarkKnown) {
-      const rows = this.kept.map(({ key, epoch = 0, revision }) => `${key} ${epoch} ${revision}`);
-      this.#keptMark =
+      const rows = this.retained.map(
+        ({ key, epoch = 0, revision }) => `${key} ${epoch} ${revision}`,
+      );
+      this.#retainedDigest =
         rows.length === 0 ? undefined : stableHash(rows.sort().join('\n')).toString(RADIX);
       this.#isKeptMarkKnown = true;
     }
-    return this.#keptMark;
+    return this.#retainedDigest;
   }
 
   /** Whether all that is known is what the store holds. */
-  get isSettled(): boolean {
-    return this.keptMark === undefined && this.#words.size === 0;
+  get isReconciled(): boolean {
+    return this.retainedDigest === undefined && this.#shadowed.size === 0;
   }
 
   /** Everything of a kind; the same array while nothing of the kind changes. */
@@ -81,34 +83,34 @@
   }
 
   /** Revision of a key in the store's present life, as far as is known; 0 where it holds none. */
-  writtenRevision(key: string): number {
-    const written = this.isKept(key) ? this.#words.get(key) : this.#latest.get(key);
+  storedRevision(key: string): number {
+    const written = this.isRetained(key) ? this.#shadowed.get(key) : this.#latest.get(key);
     return written?.record === undefined ? 0 : written.revision;
   }
 
   /** Whether more is known of a key than the store holds. */
-  isKept(key: string): boolean {
+  isRetained(key: string): boolean {
     const latest = this.#latest.get(key);
-    return latest?.record !== undefined && this.isOfFormerLife(latest);
+    return latest?.record !== undefined && this.isFromPreviousEpoch(latest);
   }
 
-  isOfFormerLife(change: StorePosition): boolean {
+  isFromPreviousEpoch(change: StorePosition): boolean {
     return epochOf(change) < this.epoch;
   }
 
   /** The next life begins, in which the store holds what it held in the one before, but for what is spoken of. */
-  beginLife(epoch: number, spokenOf: ReadonlySet<string>): void {
-    const former = [...this.#latest.values()].filter((latest) => !this.isOfFormerLife(latest));
+  beginEpoch(epoch: number, spokenOf: ReadonlySet<string>): void {
+    const former = [...this.#latest.values()].filter((latest) => !this.isFromPreviousEpoch(latest));
     for (const latest of former.filter(({ key }) => !spokenOf.has(key))) {
       // A revision at which something went is of the former life, and may be given out again.
       const revision = latest.record === undefined ? 0 : latest.revision;
       this.#latest.set(latest.key, { ...latest, epoch, revision });
     }
-    for (const [key, word] of this.#words) {
+    for (const [key, word] of this.#shadowed) {
       if (spokenOf.has(key)) {
-        this.#words.delete(key);
+        this.#shadowed.delete(key);
       } else {
-        this.#words.set(key, { ...word, epoch });
+        this.#shadowed.set(key, { ...word, epoch });
       }
     }
     this.epoch = epoch;
@@ -116,23 +118,23 @@
   }
 
   /** Whether a listed record is what is known, at the same revision. */
-  isSame({ key, revision, record }: FleetChange): boolean {
+  isUnchanged({ key, revision, record }: FleetChange): boolean {
     const latest = this.#latest.get(key);
     return (
       latest?.revision === revision &&
-      !this.isOfFormerLife(latest) &&
+      !this.isFromPreviousEpoch(latest) &&
       JSON.stringify(latest.record) === JSON.stringify(record)
     );
   }
 
   /** Whether a change of another life is newer than what is known by the numbers that stand in it. */
-  isNewerByItself(change: FleetChange): boolean {
+  hasNewerVersion(change: FleetChange): boolean {
     const isOfOtherLife = epochOf(change) !== this.epoch;
     return isOfOtherLife && orderOf(change, this.#latest.get(change.key)) === 'newer';
   }
 
   /** Whether a change is to be taken over. A configuration stays in force where what comes after it cannot be read; all else is gone then. */
-  isNews(change: FleetChange): boolean {
+  isNewer(change: FleetChange): boolean {
     const latest = this.#latest.get(change.key);
     if (latest === undefined) {
       return true;
@@ -156,29 +158,29 @@
     this.#formerStarts.record(change, former?.record);
     this.#latest.set(key, change);
     this.#isKeptMarkKnown = false;
-    if (!this.isOfFormerLife(change)) {
-      this.#words.delete(key);
-    } else if (former !== undefined && !this.isOfFormerLife(former)) {
-      this.#words.set(key, former);
+    if (!this.isFromPreviousEpoch(change)) {
+      this.#shadowed.delete(key);
+    } else if (former !== undefined && !this.isFromPreviousEpoch(former)) {
+      this.#shadowed.set(key, former);
     }
   }
 
   /** Remembers what the store's present life holds, where more is known; tells whether it is so. */
-  keepWord(change: FleetChange): boolean {
+  recordShadowed(change: FleetChange): boolean {
     const latest = this.#latest.get(change.key);
     const isWord =
-      epochOf(change) === this.epoch && latest !== undefined && this.isOfFormerLife(latest);
+      epochOf(change) === this.epoch && latest !== undefined && this.isFromPreviousEpoch(latest);
     if (isWord) {
-      this.#words.set(change.key, change);
+      this.#shadowed.set(change.key, change);
     }
     return isWord;
   }
 
   /** The store's present life holds nothing under keys that are not listed. */
-  dropWords(listed: ReadonlySet<string>): void {
-    for (const key of this.#words.keys()) {
+  dropShadowed(listed: ReadonlySet<string>): void {
+    for (const key of this.#shadowed.keys()) {
       if (!listed.has(key)) {
-        this.#words.delete(key);
+        this.#shadowed.delete(key);
       }
     }
   }
@@ -187,9 +189,9 @@
    * What holds once all have had time to write again what the store had lost: what it still lacks is gone, and what it still holds is
    * there, whatever was known before. A configuration is never gone, and no record takes back what is newer by its own numbers.
    */
-  settle(): FleetChange[] {
+  reconcile(): FleetChange[] {
     const news = [...this.#latest.values()]
-      .filter((latest) => this.isOfFormerLife(latest))
+      .filter((latest) => this.isFromPreviousEpoch(latest))
       .flatMap((latest) => this.#settled(latest));
     for (const change of news) {
       this.put(change);
@@ -198,7 +200,7 @@
   }
 
   #settled({ key, record }: FleetChange): FleetChange[] {
-    const word = this.#words.get(key);
+    const word = this.#shadowed.get(key);
     const isBelieved = record === undefined || record.kind === 'entryHost';
     if (isBelieved && word?.record !== undefined) {
       return [word];
@@ -208,7 +210,7 @@
   }
 
   #isNewsOfOtherLife(change: FleetChange, latest: FleetChange): boolean {
-    if (!this.keepsRecords) {
+    if (!this.retainsRecords) {
       return isAfter(change, latest);
     }
     const order = orderOf(change, latest);
@@ -220,7 +222,7 @@
     }
     return change.record === undefined
       ? latest.record === undefined || latest.record.kind === 'target'
-      : !this.#formerStarts.mayBeOlder(change.record, latest);
+      : !this.#formerStarts.mayBeStale(change.record, latest);
   }
 
   /** The records of these kinds are put together anew when they are asked for. */
--- a/packages/entry/src/fleet/view-history.ts
+++ b/packages/entry/src/fleet/view-history.ts
@@ -3,11 +3,11 @@
 import { epochOf, isAfter, NO_POSITION } from './store-position.js';
 
 /** Changes that are kept to be handed to other entry hosts. */
-const KEPT_CHANGES = 2_000;
+const MAX_CHANGES = 2_000;
 /** Returns of the store of which it is kept how far its life before had been known. */
-const KEPT_RETURNS = 4;
+const MAX_PREVIOUS_EPOCHS = 4;
 
-interface FormerLife {
+interface EpochRange {
   readonly entered: StorePosition;
   readonly end: StorePosition;
 }
@@ -20,17 +20,17 @@
   /** Where the present life was entered; what came in it before is known as a whole alone, not change by change. */
   #entered: StorePosition = NO_POSITION;
   /** Former lives of the store: where they were entered, and how far they were known when the next one was learned of. */
-  readonly #former = new Map<number, FormerLife>();
+  readonly #former = new Map<number, EpochRange>();
 
   add(changes: readonly FleetChange[]): void {
     this.#changes.push(...changes);
-    while (this.#changes.length > KEPT_CHANGES) {
+    while (this.#changes.length > MAX_CHANGES) {
       this.#after = this.#changes.shift() ?? this.#after;
     }
   }
 
   /** Nothing before a position is kept any more. */
-  restart(after: StorePosition): void {
+  reset(after: StorePosition): void {
     this.#changes.length = 0;
     this.#after = after;
     this.#entered = after;
@@ -38,14 +38,14 @@
   }
 
   /** The present life was entered at a position. */
-  enter(at: StorePosition): void {
+  beginEpoch(at: StorePosition): void {
     this.#entered = at;
   }
 
   /** The store's life ended for this host at a position. What follows is what the next one differs in. */
-  endLife(at: StorePosition): void {
+  endEpoch(at: StorePosition): void {
     this.#former.set(epochOf(at), { entered: this.#entered, end: at });
-    if (this.#former.size > KEPT_RETURNS) {
+    if (this.#former.size > MAX_PREVIOUS_EPOCHS) {
       this.#former.delete(this.#former.keys().next().value ?? 0);
     }
   }
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,5 @@
-export { AccountDuty } from './accounts/account-duty.js';
-export type { AccountDutyOptions } from './accounts/account-duty.js';
+export { AccountLimitController } from './accounts/account-limit-controller.js';
+export type { AccountLimitControllerOptions } from './accounts/account-limit-controller.js';
 export { splitAddress } from './address.js';
 export type { HostAndPort } from './address.js';
 export type { DirectoryAnswer } from './directory.js';
@@ -26,23 +26,23 @@
 export { suspectRecordSchema } from './fleet/suspect-record.js';
 export type { SuspectRecord } from './fleet/suspect-record.js';
 export { FleetView } from './fleet/fleet-view.js';
-export type { Datagrams, OpenDatagrams } from './peers/datagrams.js';
+export type { DatagramTransport, CreateTransport } from './peers/datagram-transport.js';
 export type { PeerCalls } from './peers/peer-calls.js';
 export { deltaResultSchema } from './peers/peer-messages.js';
 export type {
-  AnswerFacts,
-  CallerDemand,
-  HeaderDialect,
-  TargetInstruction,
-} from './request/dialect.js';
-export { headerValues, readDecimal } from './request/decimal-header.js';
-export { readRest } from './request/rest-header.js';
-export { passOnHeaders } from './request/pass-on-headers.js';
+  ResponseMetadata,
+  RequestMetadata,
+  HeaderCodec,
+  ForwardMetadata,
+} from './request/header-codec.js';
+export { headerValues, parseDecimalHeader } from './request/decimal-header.js';
+export { parseRetryAfter } from './request/retry-after.js';
+export { forwardableHeaders } from './request/forwardable-headers.js';
 export { encodeSuspects, suspectsSchema } from './peers/suspect-rows.js';
 export { checkConnection } from './suspects/check-connection.js';
 export type { CheckConnection, ConnectionCheck } from './suspects/check-connection.js';
 export type { FingerprintedRequest } from './suspects/request-fingerprint.js';
 export { requestFingerprint } from './suspects/request-fingerprint.js';
-export { TargetWords } from './request/target-words.js';
-export { SuspectDuty } from './suspects/suspect-duty.js';
-export { WITHOUT_SCHEMAS } from './servers/without-schemas.js';
+export { TargetSignalRecorder } from './request/target-signal-recorder.js';
+export { SuspectController } from './suspects/suspect-controller.js';
+export { SCHEMALESS_SERVER_OPTIONS } from './servers/schemaless-server-options.js';
--- a/packages/entry/src/limits/limit-duty.ts
+++ b/packages/entry/src/limits/target-limit-controller.ts
@@ -1,111 +1,111 @@
 import { LIMIT_WINDOW_MILLISECONDS, TargetLimits } from '@ferrylock/routing';
-import type { LeftOut, LimitFleet, TargetState, UsageByName } from '@ferrylock/routing';
+import type { DisabledMechanisms, LimitFleet, TargetState, UsageByName } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import type { EventLog } from '../events.js';
 import type { EntryHostRecord } from '../fleet/fleet-record.js';
-import type { ToldLimit, ToldLimits } from '../peers/limit-rows.js';
+import type { ReportedLimit, ReportedLimits } from '../peers/limit-rows.js';
 import { PeerUsage } from '../peers/peer-usage.js';
-import type { HostStart } from '../peers/peer-usage.js';
+import type { HostIncarnation } from '../peers/peer-usage.js';
 
 /** How long a word is told to others that is not heard again: a target that nobody asks needs no row. */
 const TOLD_MILLISECONDS = 10_000;
 /** Age from which the look at who is heard counts as old, as after this process was suspended. */
 const OLD_LOOK_MILLISECONDS = 1_000;
 
-const NOTHING_TOLD: ToldLimits = { usage: { used: {}, asked: {} }, words: new Map() };
+const NOTHING_TOLD: ReportedLimits = { usage: { used: {}, demand: {} }, limits: new Map() };
 
-export interface LimitDutyOptions {
+export interface TargetLimitControllerOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly events: EventLog;
   readonly ownName: string;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
   /** Registered hosts; the same array while nothing changes. */
   readonly hosts: () => readonly EntryHostRecord[];
   /** Names of all registered hosts and of this one; the same array while nothing changes. */
   readonly hostNames: () => readonly string[];
-  readonly isHeard: (host: EntryHostRecord) => boolean;
+  readonly isAlive: (host: EntryHostRecord) => boolean;
   readonly targetOfStart: (start: string) => TargetState | undefined;
   /** A target named a limit, another one or none: others are told at once. */
-  readonly onNews: () => void;
+  readonly onUpdate: () => void;
 }
 
 /**
  * Keeps all hosts together to the limits that targets name: what one host hears counts at all, and each knows what the others
  * send and want. Nothing is told, and nothing looked at, while no target names a limit.
  */
-export class LimitDuty {
+export class TargetLimitController {
   readonly limits: TargetLimits;
   readonly usage: PeerUsage;
-  readonly #options: LimitDutyOptions;
+  readonly #options: TargetLimitControllerOptions;
   /** Starts of targets that name a limit, or did so lately. */
   readonly #noted = new Set<string>();
   #own: UsageByName = NOTHING_TOLD.usage;
   #heardShare = 1;
   #lookedAt = -Infinity;
 
-  constructor(options: LimitDutyOptions) {
+  constructor(options: TargetLimitControllerOptions) {
     this.#options = options;
     this.usage = new PeerUsage({
       clock: options.clock,
       windowMilliseconds: LIMIT_WINDOW_MILLISECONDS,
-      own: () => this.limits.tell(),
+      own: () => this.limits.report(),
     });
     this.limits = new TargetLimits({
       ...options,
-      others: (start) => this.usage.others(start),
+      usageElsewhere: (start) => this.usage.others(start),
       fleet: () => this.#fleet,
     });
   }
 
   /** A target's answer to this host named a limit, another one than before, or none any more. */
-  recordWord({ start }: TargetState): void {
+  recordLimitChange({ incarnationId: start }: TargetState): void {
     this.#note(start);
-    this.#options.onNews();
+    this.#options.onUpdate();
   }
 
   /** Begins a new report under a number: what is told from now on tells of the present. */
-  next(sequence: number): void {
+  beginReport(sequence: number): void {
     if (this.#noted.size > 0) {
-      this.#own = this.usage.report(sequence);
+      this.#own = this.usage.recordReport(sequence);
     }
   }
 
   /** What is told to others: this host's own use, or together with that of all sources of a kind. */
-  tell(isCounted?: (source: string) => boolean): ToldLimits {
+  buildReport(isCounted?: (source: string) => boolean): ReportedLimits {
     const words = this.#words;
     if (words.size === 0) {
       return NOTHING_TOLD;
     }
     const usage = isCounted === undefined ? this.#own : this.usage.sum(isCounted, this.#own);
-    return { usage, words };
+    return { usage, limits: words };
   }
 
   /** Whether a host told that it uses limits. */
-  isTold(host: HostStart): boolean {
-    return this.#noted.size > 0 && this.usage.tells(this.usage.sourceOf(host));
+  hasReport(host: HostIncarnation): boolean {
+    return this.#noted.size > 0 && this.usage.hasDemand(this.usage.sourceOf(host));
   }
 
   /** Takes what a host tells of itself. */
-  takeHost(start: HostStart, told: ToldLimits | undefined): void {
+  mergeHostReport(start: HostIncarnation, told: ReportedLimits | undefined): void {
     if (this.#isNeeded(told)) {
-      this.takeTold(this.usage.sourceOf(start), told);
+      this.mergeReport(this.usage.sourceOf(start), told);
     }
   }
 
   /** Takes what a source of reports tells. */
-  takeTold(source: string, told: ToldLimits = NOTHING_TOLD): void {
+  mergeReport(source: string, told: ReportedLimits = NOTHING_TOLD): void {
     if (this.#isNeeded(told)) {
-      this.#hear(told.words);
-      this.usage.take(source, told.usage);
+      this.#hear(told.limits);
+      this.usage.update(source, told.usage);
     }
   }
 
   /** Takes what a relay tells of the whole fleet, this host's own part under a number in it. */
-  takeFleet(told: ToldLimits = NOTHING_TOLD, sequence: number): void {
+  mergeFleetReport(told: ReportedLimits = NOTHING_TOLD, sequence: number): void {
     if (this.#isNeeded(told)) {
-      this.#hear(told.words);
-      this.usage.takeFleet(told.usage, sequence);
+      this.#hear(told.limits);
+      this.usage.updateFromFleet(told.usage, sequence);
     }
   }
 
@@ -118,20 +118,20 @@
     this.#look();
     const oldest = this.#options.clock.now() - TOLD_MILLISECONDS;
     for (const start of this.#noted) {
-      const limit = this.#options.targetOfStart(start)?.word.limit;
-      if (limit === undefined || (limit.perSecond === undefined && limit.heardAt < oldest)) {
+      const limit = this.#options.targetOfStart(start)?.signals.limit;
+      if (limit === undefined || (limit.perSecond === undefined && limit.receivedAt < oldest)) {
         this.#noted.delete(start);
       }
     }
   }
 
-  #isNeeded(told: ToldLimits | undefined): boolean {
-    return this.#noted.size > 0 || (told !== undefined && told.words.size > 0);
+  #isNeeded(told: ReportedLimits | undefined): boolean {
+    return this.#noted.size > 0 || (told !== undefined && told.limits.size > 0);
   }
 
   /** Takes over what others heard; passes on at once what is news. */
-  #hear(words: ReadonlyMap<string, ToldLimit>): void {
-    const { leftOut, targetOfStart } = this.#options;
+  #hear(words: ReadonlyMap<string, ReportedLimit>): void {
+    const { disabledMechanisms: leftOut, targetOfStart } = this.#options;
     for (const [start, told] of words) {
       const target = targetOfStart(start);
       if (target !== undefined && !leftOut.has('told-limits')) {
@@ -140,18 +140,18 @@
     }
   }
 
-  #hearOne(target: TargetState, { perSecond, ageMilliseconds }: ToldLimit): void {
-    const { clock, events, onNews } = this.#options;
-    const { limit } = target.word;
-    if (!limit.hear({ perSecond, heardAt: clock.now() - ageMilliseconds })) {
+  #hearOne(target: TargetState, { perSecond, ageMilliseconds }: ReportedLimit): void {
+    const { clock, events, onUpdate: onNews } = this.#options;
+    const { limit } = target.signals;
+    if (!limit.merge({ perSecond, receivedAt: clock.now() - ageMilliseconds })) {
       return;
     }
-    this.#note(target.start);
+    this.#note(target.incarnationId);
     const isNamed = limit.perSecond !== undefined;
     events.write({
       event: 'target',
       target: target.id,
-      start: target.start,
+      start: target.incarnationId,
       service: target.record.service,
       state: isNamed ? 'limited' : 'unlimited',
       detail: isNamed
@@ -169,13 +169,13 @@
   }
 
   /** Words that others may need: named or heard again lately, or of a target that is asked for. */
-  get #words(): Map<string, ToldLimit> {
+  get #words(): Map<string, ReportedLimit> {
     const { clock, targetOfStart } = this.#options;
-    const words = new Map<string, ToldLimit>();
+    const words = new Map<string, ReportedLimit>();
     for (const start of this.#noted) {
-      const limit = targetOfStart(start)?.word.limit;
-      const ageMilliseconds = clock.now() - (limit?.heardAt ?? -Infinity);
-      const isUsed = this.#own.asked[start] !== undefined;
+      const limit = targetOfStart(start)?.signals.limit;
+      const ageMilliseconds = clock.now() - (limit?.receivedAt ?? -Infinity);
+      const isUsed = this.#own.demand[start] !== undefined;
       if (limit !== undefined && (isUsed || ageMilliseconds < TOLD_MILLISECONDS)) {
         words.set(start, { perSecond: limit.perSecond, ageMilliseconds });
       }
@@ -184,7 +184,7 @@
   }
 
   #look(): void {
-    const { clock, hosts, ownName, isHeard } = this.#options;
+    const { clock, hosts, ownName, isAlive: isHeard } = this.#options;
     const others = hosts().filter(({ name }) => name !== ownName);
     this.#heardShare = (1 + others.filter(isHeard).length) / (1 + others.length);
     this.#lookedAt = clock.now();
@@ -194,6 +194,6 @@
     const { clock, ownName, hostNames } = this.#options;
     const hosts = hostNames();
     const isOld = clock.now() - this.#lookedAt > OLD_LOOK_MILLISECONDS;
-    return { hosts, ownName, heardShare: isOld ? 1 / hosts.length : this.#heardShare };
+    return { hosts, ownName, visibleHostShare: isOld ? 1 / hosts.length : this.#heardShare };
   }
 }
--- a/packages/entry/src/metrics-text.ts
+++ b/packages/entry/src/metrics-text.ts
@@ -16,7 +16,7 @@
 ];
 
 /** What an entry host tells beside its counts of requests. */
-export interface HostFigures {
+export interface HostMetrics {
   /** Age of the newest confirmation of its view; infinite before the first. */
   readonly beliefAgeMilliseconds: number;
   /** Revision of the store up to which this host knows what it held. */
@@ -50,7 +50,7 @@
 }
 
 /** Figures of an entry host in the Prometheus text format. */
-export function metricsText(metrics: RequestMetrics, figures: HostFigures): string {
+export function metricsText(metrics: RequestMetrics, figures: HostMetrics): string {
   const lines = [
     ...gauge('requests_in_flight', metrics.inFlight),
     ...gauge('belief_age_seconds', figures.beliefAgeMilliseconds / MILLISECONDS_PER_SECOND),
--- a/packages/entry/src/peers/account-rows.ts
+++ b/packages/entry/src/peers/account-rows.ts
@@ -16,11 +16,11 @@
       asked[account] = ofSecond;
     }
   }
-  return { used, asked };
+  return { used, demand: asked };
 });
 
 /** The form that {@link accountUsageSchema} reads; empty at rest. */
-export function encodeAccountUsage({ used, asked }: UsageByName): string {
+export function encodeAccountUsage({ used, demand: asked }: UsageByName): string {
   const accounts = new Set([...Object.keys(used), ...Object.keys(asked)]);
   return encodeRows(
     [...accounts].map((account) => [
--- a/packages/entry/src/peers/counts.ts
+++ b/packages/entry/src/peers/counts.ts
@@ -9,7 +9,7 @@
 }
 
 /** A total without a part of it; never below zero. */
-export function withoutCounts(total: Counts, part: Counts): Record<string, number> {
+export function subtractCounts(total: Counts, part: Counts): Record<string, number> {
   const rest: Record<string, number> = { ...total };
   for (const [name, count] of Object.entries(part)) {
     rest[name] = Math.max(0, (rest[name] ?? 0) - count);
--- a/packages/entry/src/peers/datagrams.ts
+++ b/packages/entry/src/peers/datagram-transport.ts
@@ -1,5 +1,5 @@
 /** Carries short messages between hosts. One may get lost, and is made good by the next. */
-export interface Datagrams {
+export interface DatagramTransport {
   /** Begins to take messages and tells the address, with the port that was taken. */
   listen(address: string): Promise<string>;
   send(address: string, text: string): void;
@@ -7,4 +7,4 @@
 }
 
 /** Makes the way by which one host sends and takes messages. */
-export type OpenDatagrams = (onMessage: (text: string) => void) => Datagrams;
+export type CreateTransport = (onMessage: (text: string) => void) => DatagramTransport;
--- a/packages/entry/src/peers/host-status.ts
+++ b/packages/entry/src/peers/host-status.ts
@@ -20,7 +20,7 @@
   /** It takes no new callers. */
   readonly leaving: boolean;
   /** Part of its time in which it has work, from 0 to 1. */
-  readonly busyShare: number;
+  readonly utilization: number;
   /** Requests a second of its callers, by service; services without any are left out. */
   readonly asked: RequestRates;
 }
@@ -31,7 +31,7 @@
 /** Hosts' statuses as rows of text: a digest holds one for every host that its sender hears. */
 export const hostStatusesSchema = z.string().transform((text, context): HostStatus[] => {
   const statuses = decodeRows(text).map(toStatus);
-  if (!statuses.every(isWhole)) {
+  if (!statuses.every(isComplete)) {
     context.addIssue(
       'expected rows of name, incarnation, sequence, leaving, busy percent, services and their rates',
     );
@@ -42,13 +42,13 @@
 /** The form that {@link hostStatusesSchema} reads. */
 export function encodeStatuses(statuses: readonly HostStatus[]): string {
   return encodeRows(
-    statuses.map(({ name, incarnation, sequence, leaving, busyShare, asked }) => [
+    statuses.map(({ name, incarnation, sequence, leaving, utilization: busyShare, asked }) => [
       name,
       incarnation,
       sequence,
       leaving ? LEAVING : STAYING,
       Math.round(busyShare * PERCENT),
-      ...fieldsOfRates(asked),
+      ...rateFields(asked),
     ]),
   );
 }
@@ -60,18 +60,18 @@
     incarnation,
     sequence: Number.parseInt(sequence ?? '', 10),
     leaving: leaving === LEAVING,
-    busyShare: Number.parseInt(busyPercent ?? '', 10) / PERCENT,
-    asked: toRates(rates),
+    utilization: Number.parseInt(busyPercent ?? '', 10) / PERCENT,
+    asked: parseRates(rates),
   };
 }
 
-/** Services and their rates in turn, as {@link toRates} reads them. */
-export function fieldsOfRates(rates: RequestRates): string[] {
+/** Services and their rates in turn, as {@link parseRates} reads them. */
+export function rateFields(rates: RequestRates): string[] {
   return Object.entries(rates).flatMap(([service, rate]) => [service, rate.toFixed(RATE_DIGITS)]);
 }
 
 /** Services and their rates in turn. */
-export function toRates(fields: readonly string[]): RequestRates {
+export function parseRates(fields: readonly string[]): RequestRates {
   const rates: Record<string, number> = {};
   for (let index = 0; index < fields.length; index += 2) {
     rates[fields[index] ?? ''] = Number.parseFloat(fields[index + 1] ?? '');
@@ -79,6 +79,6 @@
   return rates;
 }
 
-function isWhole({ sequence, busyShare, asked }: HostStatus): boolean {
+function isComplete({ sequence, utilization: busyShare, asked }: HostStatus): boolean {
   return ![sequence, busyShare, ...Object.values(asked)].some(Number.isNaN);
 }
--- a/packages/entry/src/peers/in-flight.ts
+++ b/packages/entry/src/peers/in-flight.ts
@@ -3,10 +3,10 @@
 import { decodeRows, encodeRows } from './rows.js';
 
 /** Requests at targets, by the name of the target's start; those without any are left out. */
-export type InFlight = Counts;
+export type InFlightCounts = Counts;
 
 /** Requests at targets as rows of text. */
-export const inFlightSchema = z.string().transform((text, context): InFlight => {
+export const inFlightCountsSchema = z.string().transform((text, context): InFlightCounts => {
   const inFlight: Record<string, number> = {};
   for (const [start = '', count = ''] of decodeRows(text)) {
     const value = Number.parseInt(count, 10);
@@ -19,7 +19,7 @@
   return inFlight;
 });
 
-/** The form that {@link inFlightSchema} reads. */
-export function encodeInFlight(inFlight: InFlight): string {
+/** The form that {@link inFlightCountsSchema} reads. */
+export function encodeInFlightCounts(inFlight: InFlightCounts): string {
   return encodeRows(Object.entries(inFlight));
 }
--- a/packages/entry/src/peers/limit-rows.ts
+++ b/packages/entry/src/peers/limit-rows.ts
@@ -1,4 +1,4 @@
-import type { HeardLimit, UsageByName } from '@ferrylock/routing';
+import type { ReceivedLimit, UsageByName } from '@ferrylock/routing';
 import { z } from 'zod';
 import { decodeRows, encodeRows } from './rows.js';
 
@@ -9,14 +9,14 @@
 const LIMIT_DIGITS = 6;
 
 /** What hosts tell each other of targets that name limits, by starts of these. */
-export interface ToldLimits {
+export interface ReportedLimits {
   readonly usage: UsageByName;
   /** What the targets named, as long ago as it says. */
-  readonly words: ReadonlyMap<string, ToldLimit>;
+  readonly limits: ReadonlyMap<string, ReportedLimit>;
 }
 
 /** A limit as another host tells it; none where the target took it back. */
-export interface ToldLimit extends Pick<HeardLimit, 'perSecond'> {
+export interface ReportedLimit extends Pick<ReceivedLimit, 'perSecond'> {
   readonly ageMilliseconds: number;
 }
 
@@ -24,10 +24,10 @@
  * Limits as rows of text: start, limit, age, requests in the window, requests a second that are wanted. A row that makes no sense is
  * passed over: the other news of its message counts all the same.
  */
-export const limitsSchema = z.string().transform((text): ToldLimits => {
+export const limitsSchema = z.string().transform((text): ReportedLimits => {
   const used: Record<string, number> = {};
   const asked: Record<string, number> = {};
-  const words = new Map<string, ToldLimit>();
+  const words = new Map<string, ReportedLimit>();
   for (const [start = '', ...fields] of decodeRows(text)) {
     const [limit = '', ...figures] = fields;
     const [age = NaN, ofWindow = NaN, ofSecond = NaN] = figures.map(Number);
@@ -39,18 +39,18 @@
       asked[start] = ofSecond;
     }
   }
-  return { usage: { used, asked }, words };
+  return { usage: { used, demand: asked }, limits: words };
 });
 
 /** The form that {@link limitsSchema} reads; empty where no target names a limit. */
-export function encodeLimits({ usage, words }: ToldLimits): string {
+export function encodeLimits({ usage, limits: words }: ReportedLimits): string {
   return encodeRows(
     [...words].map(([start, { perSecond, ageMilliseconds }]) => [
       start,
       perSecond === undefined ? '' : Number(perSecond.toPrecision(LIMIT_DIGITS)),
       Math.round(ageMilliseconds / AGE_UNIT_MILLISECONDS),
       usage.used[start] ?? 0,
-      Number((usage.asked[start] ?? 0).toFixed(RATE_DIGITS)),
+      Number((usage.demand[start] ?? 0).toFixed(RATE_DIGITS)),
     ]),
   );
 }
--- a/packages/entry/src/peers/load-source.ts
+++ b/packages/entry/src/peers/load-source.ts
@@ -4,5 +4,5 @@
   domain: (failureDomain: string): string => `domain ${failureDomain}`,
   fleet: 'fleet',
   isHost: (source: string): boolean => source.startsWith('host '),
-  isPart: (source: string): boolean => source !== 'fleet',
+  isPartial: (source: string): boolean => source !== 'fleet',
 } as const;
--- a/packages/entry/src/peers/peer-client.ts
+++ b/packages/entry/src/peers/peer-client.ts
@@ -1,4 +1,4 @@
-import { parseFailure } from '@ferrylock/utils';
+import { describeParseError } from '@ferrylock/utils';
 import { createJSONRPCRequest } from 'json-rpc-2.0';
 import { Err, Ok } from 'ts-results-es';
 import type { Result } from 'ts-results-es';
@@ -60,7 +60,7 @@
       }
       return parsed.error === undefined ? Ok(parsed.result) : Err(parsed.error.message);
     } catch (error) {
-      return Err(parseFailure(error));
+      return Err(describeParseError(error));
     }
   }
 }
--- a/packages/entry/src/peers/peer-exchange.ts
+++ b/packages/entry/src/peers/peer-exchange.ts
@@ -1,58 +1,58 @@
-import { BackgroundTasks, parseFailure } from '@ferrylock/utils';
+import { BackgroundTasks, describeParseError } from '@ferrylock/utils';
 import { z } from 'zod';
 import type { EventLog } from '../events.js';
 import type { EntryHostRecord } from '../fleet/fleet-record.js';
 import type { StorePosition } from '../fleet/store-position.js';
 import { isAfter, positionOf } from '../fleet/store-position.js';
-import type { Datagrams, OpenDatagrams } from './datagrams.js';
-import type { NewsSource } from '../suspects/suspect-duty.js';
+import type { DatagramTransport, CreateTransport } from './datagram-transport.js';
+import type { UpdateSource } from '../suspects/suspect-controller.js';
 import type { HostStatus } from './host-status.js';
 import { loadSource } from './load-source.js';
 import { MessageWriter } from './message-writer.js';
 import type { MessageWriterOptions } from './message-writer.js';
-import type { Digest, FleetDigest, HostReport, Knowledge } from './peer-messages.js';
+import type { DomainDigest, FleetDigest, HostReport, CommonFields } from './peer-messages.js';
 import {
-  DIGEST_METHOD,
-  digestSchema,
-  FLEET_METHOD,
+  DOMAIN_DIGEST_METHOD,
+  domainDigestSchema,
+  FLEET_DIGEST_METHOD,
   fleetDigestSchema,
   hostReportSchema,
   REPORT_METHOD,
 } from './peer-messages.js';
-import type { HeardFrom } from './peer-table.js';
+import type { StatusSource } from './peer-table.js';
 import { RelayPlan } from './relay-plan.js';
-import { StoreAnswers } from './store-answers.js';
+import { StoreConfirmations } from './store-confirmations.js';
 import type { ViewExchange } from './view-exchange.js';
 
 /** Time between two rounds of messages of a relay, and of a host that has requests at targets. */
 const ROUND_MILLISECONDS = 200;
 /** The same of a host that has none: it tells that it lives. */
-const QUIET_ROUND_MILLISECONDS = 400;
+const IDLE_ROUND_MILLISECONDS = 400;
 /** Rounds between two digests of a relay to members that have requests. */
 const ROUNDS_PER_DIGEST = 2;
 /** The same to members that have none: these need to know who lives, and no loads. */
-const ROUNDS_PER_QUIET_DIGEST = 4;
+const ROUNDS_PER_IDLE_DIGEST = 4;
 /**
  * The same to relays of other regions: their hosts send few requests here, and each byte on the way
  * between regions is dear.
  */
-const ROUNDS_PER_FAR_DIGEST = 2;
+const ROUNDS_PER_CROSS_REGION_DIGEST = 2;
 /** Shortest time between two rounds, however much changes. */
-const SHORTEST_ROUND_MILLISECONDS = 40;
+const MIN_ROUND_INTERVAL_MILLISECONDS = 40;
 
 /** What a host knows that has told nothing: nobody is told news for its sake. */
-const UNTOLD: StorePosition = { epoch: Infinity, revision: Infinity };
+const UNKNOWN_POSITION: StorePosition = { epoch: Infinity, revision: Infinity };
 
 const messageSchema = z.discriminatedUnion('method', [
   z.object({ method: z.literal(REPORT_METHOD), params: hostReportSchema }),
-  z.object({ method: z.literal(DIGEST_METHOD), params: digestSchema }),
-  z.object({ method: z.literal(FLEET_METHOD), params: fleetDigestSchema }),
+  z.object({ method: z.literal(DOMAIN_DIGEST_METHOD), params: domainDigestSchema }),
+  z.object({ method: z.literal(FLEET_DIGEST_METHOD), params: fleetDigestSchema }),
 ]);
 
 export interface PeerExchangeOptions extends Omit<MessageWriterOptions, 'answers' | 'own'> {
   readonly events: EventLog;
-  readonly changes: ViewExchange;
-  readonly openDatagrams: OpenDatagrams;
+  readonly viewExchange: ViewExchange;
+  readonly createTransport: CreateTransport;
 }
 
 /** What is needed once the own addresses are known. */
@@ -70,51 +70,51 @@
  */
 export class PeerExchange {
   readonly #options: PeerExchangeOptions;
-  readonly #datagrams: Datagrams;
+  readonly #transport: DatagramTransport;
   readonly #tasks: BackgroundTasks;
-  readonly #answers: StoreAnswers;
+  readonly #confirmations: StoreConfirmations;
   /** Newest change that each host is known to know, by its name. */
-  readonly #lastChanges = new Map<string, StorePosition>();
+  readonly #peerPositions = new Map<string, StorePosition>();
   /** What was asked for last of what each host keeps beyond the store, by its name. */
   readonly #fetchedKept = new Map<string, string>();
   #running: Running | undefined;
   /** Whether others rely on this host to pass on what it hears, as of the last round. */
   #isRelay = false;
   #round = 0;
-  #toldAt = -Infinity;
-  #isRoundDue = false;
+  #lastRoundAt = -Infinity;
+  #isRoundScheduled = false;
 
   constructor(options: PeerExchangeOptions) {
     this.#options = options;
-    this.#answers = new StoreAnswers(options.clock);
+    this.#confirmations = new StoreConfirmations(options.clock);
     this.#tasks = new BackgroundTasks(options.events.logger);
-    this.#datagrams = options.openDatagrams((text) => {
-      this.takeDatagram(text);
+    this.#transport = options.createTransport((text) => {
+      this.handleDatagram(text);
     });
     options.view.onChanges((changes) => {
       // A host that comes is told with the next round: hundreds come at once, and none is waited for.
       if (this.#isRelay && changes.some(({ record }) => record?.kind !== 'entryHost')) {
-        this.report();
+        this.triggerRound();
       }
     });
-    options.view.onReturn(() => {
-      this.report();
+    options.view.onRestore(() => {
+      this.triggerRound();
     });
   }
 
   listen(address: string): Promise<string> {
-    return this.#datagrams.listen(address);
+    return this.#transport.listen(address);
   }
 
   start(own: EntryHostRecord): void {
     const plan = new RelayPlan({ ...this.#options, own });
-    const writer = new MessageWriter({ ...this.#options, answers: this.#answers, own });
+    const writer = new MessageWriter({ ...this.#options, answers: this.#confirmations, own });
     this.#running = { own, plan, writer };
     this.#tasks.start('reports', async (signal) => {
       while (!signal.aborted) {
-        this.#tell(false);
+        this.#runRound(false);
         const isBusy = this.#isRelay || writer.hasRequests;
-        const pause = isBusy ? ROUND_MILLISECONDS : QUIET_ROUND_MILLISECONDS;
+        const pause = isBusy ? ROUND_MILLISECONDS : IDLE_ROUND_MILLISECONDS;
         await this.#options.clock.sleep(pause, signal);
       }
     });
@@ -122,7 +122,7 @@
 
   async stop(): Promise<void> {
     await this.#tasks.stop();
-    this.#datagrams.close();
+    this.#transport.close();
     this.#running = undefined;
   }
 
@@ -137,117 +137,118 @@
   }
 
   /** Tells others now, or as soon after the last round as is allowed. */
-  report(): void {
+  triggerRound(): void {
     const { clock } = this.#options;
-    if (this.#isRoundDue) {
+    if (this.#isRoundScheduled) {
       return;
     }
-    this.#isRoundDue = true;
-    const wait = this.#toldAt + SHORTEST_ROUND_MILLISECONDS - clock.now();
+    this.#isRoundScheduled = true;
+    const wait = this.#lastRoundAt + MIN_ROUND_INTERVAL_MILLISECONDS - clock.now();
     clock.after(Math.max(0, wait), () => {
-      this.#isRoundDue = false;
-      this.#tell(true);
+      this.#isRoundScheduled = false;
+      this.#runRound(true);
     });
   }
 
   /** Tells what others should not wait for; what was heard is passed on by relays alone. */
-  tellNews(source: NewsSource): void {
+  propagateUrgent(source: UpdateSource): void {
     if (source === 'own' || this.#isRelay) {
-      this.report();
+      this.triggerRound();
     }
   }
 
   /** Takes a message of another host, as it came. */
-  takeDatagram(text: string): void {
+  handleDatagram(text: string): void {
     const { events } = this.#options;
     try {
       const parsed = messageSchema.safeParse(JSON.parse(text));
       if (!parsed.success) {
         events.logger.warn('unexpected datagram', { detail: parsed.error.message });
       } else if (parsed.data.method === REPORT_METHOD) {
-        this.#takeReport(parsed.data.params);
-      } else if (parsed.data.method === DIGEST_METHOD) {
-        this.#takeDigest(parsed.data.params);
+        this.#handleReport(parsed.data.params);
+      } else if (parsed.data.method === DOMAIN_DIGEST_METHOD) {
+        this.#handleDomainDigest(parsed.data.params);
       } else {
-        this.#takeFleetDigest(parsed.data.params);
+        this.#handleFleetDigest(parsed.data.params);
       }
     } catch (error) {
-      events.logger.warn('unexpected datagram', { detail: parseFailure(error) });
+      events.logger.warn('unexpected datagram', { detail: describeParseError(error) });
     }
   }
 
-  #takeReport(report: HostReport): void {
+  #handleReport(report: HostReport): void {
     const { loads, accounts, limits } = this.#options;
     const [status] = report.statuses;
-    if (status === undefined || !this.#takeStatus(status, 'itself')) {
+    if (status === undefined || !this.#updateStatus(status, 'itself')) {
       return;
     }
-    loads.take(loadSource.host(status.name), report.inFlight);
-    accounts.takeHost(status, report.accounts, report.remembered);
-    limits.takeHost(status, report.limits);
-    this.#takeKnowledge(status.name, report);
+    loads.update(loadSource.host(status.name), report.inFlight);
+    accounts.mergeHostReport(status, report.accounts, report.remembered);
+    limits.mergeHostReport(status, report.limits);
+    this.#handleCommonFields(status.name, report);
   }
 
-  #takeDigest(digest: Digest): void {
+  #handleDomainDigest(digest: DomainDigest): void {
     const { from, failureDomain, statuses } = digest;
     const own = this.#running?.own;
     for (const status of statuses) {
       if (status.name !== own?.name) {
-        this.#takeStatus(status, status.name === from ? 'itself' : 'another');
+        this.#updateStatus(status, status.name === from ? 'itself' : 'another');
       }
     }
     const { loads, accounts, limits } = this.#options;
     const source = loadSource.domain(failureDomain);
-    loads.take(source, digest.inFlight);
-    accounts.takeTold(source, digest.accounts, digest.remembered);
-    limits.takeTold(source, digest.limits);
-    this.#takeNews(digest);
+    loads.update(source, digest.inFlight);
+    accounts.mergeReport(source, digest.accounts, digest.remembered);
+    limits.mergeReport(source, digest.limits);
+    this.#applyDigestChanges(digest);
   }
 
-  #takeFleetDigest(digest: FleetDigest): void {
+  #handleFleetDigest(digest: FleetDigest): void {
     const { peers, loads, accounts, limits } = this.#options;
     const { from, absent, regions, counted, inFlight } = digest;
-    peers.takeTold(from, { absent, regions });
+    peers.updateFromFleet(from, { absent, regions });
     const sequence = counted.get(this.#running?.own.name ?? '') ?? 0;
-    loads.takeFleet(loadSource.fleet, inFlight, sequence);
-    accounts.takeFleet(digest.accounts, sequence, digest.remembered);
-    limits.takeFleet(digest.limits, sequence);
-    this.#takeNews(digest);
+    loads.updateFromFleet(loadSource.fleet, inFlight, sequence);
+    accounts.mergeFleetReport(digest.accounts, sequence, digest.remembered);
+    limits.mergeFleetReport(digest.limits, sequence);
+    this.#applyDigestChanges(digest);
   }
 
-  #takeNews(digest: Digest | FleetDigest): void {
-    const { view, changes } = this.#options;
+  #applyDigestChanges(digest: DomainDigest | FleetDigest): void {
+    const { view, viewExchange: changes } = this.#options;
     const { from, news } = digest;
     if (news !== undefined && isAfter(news, view.position) && view.apply(news)) {
-      changes.logView(from, news);
+      changes.logChanges(from, news);
     }
-    this.#takeKnowledge(from, digest);
+    this.#handleCommonFields(from, digest);
   }
 
   /** Takes a host's status; passes on at once that it leaves. Tells whether it was news. */
-  #takeStatus(status: HostStatus, from: HeardFrom): boolean {
+  #updateStatus(status: HostStatus, from: StatusSource): boolean {
     const { peers } = this.#options;
     const wasLeaving = peers.get(status.name)?.leaving === true;
-    const isNews = peers.take(status, from);
+    const isNews = peers.update(status, from);
     if (isNews && status.leaving && !wasLeaving && this.#isRelay) {
-      this.report();
+      this.triggerRound();
     }
     return isNews;
   }
 
   /** Fetches what a peer knows beyond this host; takes what it tells of the store's answers. */
-  #takeKnowledge(name: string, knowledge: Knowledge): void {
-    const { view, changes, suspects } = this.#options;
+  #handleCommonFields(name: string, knowledge: CommonFields): void {
+    const { view, viewExchange: changes, suspects } = this.#options;
     const { lastChange: revision, epoch, storeAnswer, controlAddress } = knowledge;
     const lastChange = positionOf({ epoch, revision });
-    suspects.take(knowledge.suspects ?? []);
-    this.#lastChanges.set(name, lastChange);
-    const answeredAt = storeAnswer === undefined ? undefined : this.#answers.take(storeAnswer);
+    suspects.merge(knowledge.suspects ?? []);
+    this.#peerPositions.set(name, lastChange);
+    const answeredAt =
+      storeAnswer === undefined ? undefined : this.#confirmations.record(storeAnswer);
     if (isAfter(lastChange, view.lastChange)) {
-      changes.fetchUnlessUnderWay(controlAddress);
+      changes.fetchIfIdle(controlAddress);
       return;
     }
-    this.#takeKept(name, knowledge);
+    this.#fetchKept(name, knowledge);
     if (storeAnswer !== undefined && answeredAt !== undefined) {
       const answered = { epoch: storeAnswer.epoch, revision: storeAnswer.lastChange };
       view.confirm(answered, answeredAt);
@@ -255,38 +256,38 @@
   }
 
   /** Fetches what a peer keeps beyond a store that came back from a copy, where that is not the same here. */
-  #takeKept(name: string, { epoch, kept, controlAddress }: Knowledge): void {
-    const { view, changes } = this.#options;
-    const isOther = kept !== undefined && kept !== view.keptMark && epoch === view.epoch;
+  #fetchKept(name: string, { epoch, kept, controlAddress }: CommonFields): void {
+    const { view, viewExchange: changes } = this.#options;
+    const isOther = kept !== undefined && kept !== view.retainedDigest && epoch === view.epoch;
     if (isOther && this.#fetchedKept.get(name) !== kept) {
-      if (changes.fetchUnlessUnderWay(controlAddress)) {
+      if (changes.fetchIfIdle(controlAddress)) {
         this.#fetchedKept.set(name, kept);
       }
     }
   }
 
   /** @param isUrgent - whether all are told, although it is not their round */
-  #tell(isUrgent: boolean): void {
+  #runRound(isUrgent: boolean): void {
     if (this.#running === undefined) {
       return;
     }
     const { plan, writer } = this.#running;
-    this.#toldAt = this.#options.clock.now();
-    writer.next();
+    this.#lastRoundAt = this.#options.clock.now();
+    writer.beginRound();
     const recipients = plan.recipients(isUrgent);
-    const { reports, isRelay } = recipients;
+    const { reportRecipients: reports, isRelay } = recipients;
     this.#round++;
     const isRound = (every: number): boolean => isUrgent || this.#round % every === 0;
     this.#send(reports, () => writer.report());
-    this.#send(recipients.nearRelays, (known) => writer.domainDigest(known));
-    if (isRound(ROUNDS_PER_FAR_DIGEST)) {
-      this.#send(recipients.farRelays, (known) => writer.domainDigest(known));
+    this.#send(recipients.sameRegionRelays, (known) => writer.domainDigest(known));
+    if (isRound(ROUNDS_PER_CROSS_REGION_DIGEST)) {
+      this.#send(recipients.otherRegionRelays, (known) => writer.domainDigest(known));
     }
     if (isRound(ROUNDS_PER_DIGEST)) {
-      this.#send(recipients.askingMembers, (known) => writer.fleetDigest(known, true));
+      this.#send(recipients.activeMembers, (known) => writer.fleetDigest(known, true));
     }
-    if (isRound(ROUNDS_PER_QUIET_DIGEST)) {
-      this.#send(recipients.quietMembers, (known) => writer.fleetDigest(known, false));
+    if (isRound(ROUNDS_PER_IDLE_DIGEST)) {
+      this.#send(recipients.idleMembers, (known) => writer.fleetDigest(known, false));
     }
     this.#isRelay = isRelay;
     if (this.#isRelay) {
@@ -295,11 +296,11 @@
     }
   }
 
-  #send(hosts: readonly EntryHostRecord[], write: (knownToAll: StorePosition) => string): void {
+  #send(hosts: readonly EntryHostRecord[], write: (lowestPosition: StorePosition) => string): void {
     if (hosts.length > 0) {
       const text = write(this.#knownToAll(hosts));
       for (const { reportAddress } of hosts) {
-        this.#datagrams.send(reportAddress, text);
+        this.#transport.send(reportAddress, text);
       }
     }
   }
@@ -307,7 +308,7 @@
   /** Newest change that all of these hosts know, as far as they have told. */
   #knownToAll(hosts: readonly EntryHostRecord[]): StorePosition {
     return hosts
-      .map(({ name }) => this.#lastChanges.get(name) ?? UNTOLD)
-      .reduce((least, known) => (isAfter(least, known) ? known : least), UNTOLD);
+      .map(({ name }) => this.#peerPositions.get(name) ?? UNKNOWN_POSITION)
+      .reduce((least, known) => (isAfter(least, known) ? known : least), UNKNOWN_POSITION);
   }
 }
--- a/packages/entry/src/peers/peer-loads.ts
+++ b/packages/entry/src/peers/peer-loads.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@ferrylock/utils';
 import type { RoutingState } from '../routing/routing-state.js';
-import { addCounts, withoutCounts } from './counts.js';
-import type { InFlight } from './in-flight.js';
-import { SILENCE_MILLISECONDS } from './peer-table.js';
+import { addCounts, subtractCounts } from './counts.js';
+import type { InFlightCounts } from './in-flight.js';
+import { PEER_TIMEOUT_MILLISECONDS } from './peer-table.js';
 
 /** Part of its slots from which a target's load decides: below, it takes any key's requests. */
 const BUSY_SHARE = 0.4;
@@ -10,9 +10,9 @@
 const KEPT_REPORTS = 16;
 
 /** What one source told last. */
-interface ToldLoads {
-  readonly inFlight: InFlight;
-  readonly toldAt: number;
+interface SourceLoads {
+  readonly inFlight: InFlightCounts;
+  readonly updatedAt: number;
 }
 
 /**
@@ -22,9 +22,9 @@
 export class PeerLoads {
   readonly #clock: Clock;
   readonly #state: RoutingState;
-  readonly #sources = new Map<string, ToldLoads>();
+  readonly #sources = new Map<string, SourceLoads>();
   /** This host's last reports, by their number. */
-  readonly #reported = new Map<number, InFlight>();
+  readonly #reported = new Map<number, InFlightCounts>();
 
   constructor(clock: Clock, state: RoutingState) {
     this.#clock = clock;
@@ -32,12 +32,12 @@
   }
 
   /** This host's own requests now, to be reported under a number. */
-  report(sequence: number): InFlight {
+  recordReport(sequence: number): InFlightCounts {
     const inFlight: Record<string, number> = {};
     for (const { targets } of this.#state.services) {
       for (const target of targets.values()) {
         if (target.inFlight > 0) {
-          inFlight[target.start] = target.inFlight;
+          inFlight[target.incarnationId] = target.inFlight;
         }
       }
     }
@@ -47,7 +47,7 @@
   }
 
   /** What all sources of a kind told, together with more. */
-  sum(isCounted: (source: string) => boolean, more: InFlight): InFlight {
+  sum(isCounted: (source: string) => boolean, more: InFlightCounts): InFlightCounts {
     const total: Record<string, number> = { ...more };
     for (const [source, { inFlight }] of this.#sources) {
       if (isCounted(source)) {
@@ -61,23 +61,23 @@
    * Without targets that have little to do: whether these have one request or two changes no choice,
    * and most have.
    */
-  onlyBusy(inFlight: InFlight): InFlight {
+  withoutIdle(inFlight: InFlightCounts): InFlightCounts {
     const isBusy = ([start, count]: [string, number]): boolean =>
       count >= BUSY_SHARE * (this.#target(start)?.record.slots ?? 1);
     return Object.fromEntries(Object.entries(inFlight).filter(isBusy));
   }
 
   /** What a source told last; undefined where it told of no requests. */
-  of(source: string): InFlight | undefined {
+  get(source: string): InFlightCounts | undefined {
     const inFlight = this.#sources.get(source)?.inFlight ?? {};
     return Object.keys(inFlight).length > 0 ? inFlight : undefined;
   }
 
-  take(source: string, inFlight: InFlight): void {
+  update(source: string, inFlight: InFlightCounts): void {
     this.#forget(source);
-    this.#sources.set(source, { inFlight, toldAt: this.#clock.now() });
+    this.#sources.set(source, { inFlight, updatedAt: this.#clock.now() });
     for (const [start, count] of Object.entries(inFlight)) {
-      this.#target(start)?.othersInFlight.set(source, count);
+      this.#target(start)?.peersInFlight.set(source, count);
     }
   }
 
@@ -87,19 +87,19 @@
    *
    * @param sequence - the report of this host that is counted in
    */
-  takeFleet(source: string, inFlight: InFlight, sequence: number): void {
-    const others = withoutCounts(inFlight, this.#reported.get(sequence) ?? {});
+  updateFromFleet(source: string, inFlight: InFlightCounts, sequence: number): void {
+    const others = subtractCounts(inFlight, this.#reported.get(sequence) ?? {});
     for (const part of [...this.#sources.keys()]) {
       this.drop(part);
     }
-    this.take(source, others);
+    this.update(source, others);
   }
 
   /** To be called a few times a second: drops what sources told that fell silent. */
   sweep(): void {
     const now = this.#clock.now();
-    for (const [source, { toldAt }] of this.#sources) {
-      if (now - toldAt > SILENCE_MILLISECONDS) {
+    for (const [source, { updatedAt: toldAt }] of this.#sources) {
+      if (now - toldAt > PEER_TIMEOUT_MILLISECONDS) {
         this.drop(source);
       }
     }
@@ -112,7 +112,7 @@
 
   #forget(source: string): void {
     for (const start of Object.keys(this.#sources.get(source)?.inFlight ?? {})) {
-      this.#target(start)?.othersInFlight.delete(source);
+      this.#target(start)?.peersInFlight.delete(source);
     }
   }
 
--- a/packages/entry/src/peers/peer-messages.ts
+++ b/packages/entry/src/peers/peer-messages.ts
@@ -2,19 +2,19 @@
 import { fleetChangeSchema } from '../fleet/fleet-record.js';
 import { accountUsageSchema } from './account-rows.js';
 import { hostStatusesSchema } from './host-status.js';
-import { inFlightSchema } from './in-flight.js';
+import { inFlightCountsSchema } from './in-flight.js';
 import { limitsSchema } from './limit-rows.js';
 import { decodeRows } from './rows.js';
-import { storeAnswerSchema } from './store-answers.js';
+import { storeConfirmationSchema } from './store-confirmations.js';
 import { suspectsSchema } from './suspect-rows.js';
-import { startsSchema, toldRegionsSchema } from './told-fleet.js';
+import { incarnationKeysSchema, regionSummariesSchema } from './fleet-summary.js';
 
 /** Name of the notification that carries a {@link HostReport} in a datagram. */
 export const REPORT_METHOD = 'entry.report';
-/** Name of the notification that carries a {@link Digest} in a datagram. */
-export const DIGEST_METHOD = 'entry.digest';
+/** Name of the notification that carries a {@link DomainDigest} in a datagram. */
+export const DOMAIN_DIGEST_METHOD = 'entry.digest';
 /** Name of the notification that carries a {@link FleetDigest} in a datagram. */
-export const FLEET_METHOD = 'entry.fleet';
+export const FLEET_DIGEST_METHOD = 'entry.fleet';
 /** Name of the call that asks a peer for what it knows of the store. */
 export const DELTA_METHOD = 'entry.delta';
 
@@ -44,7 +44,7 @@
 });
 
 /** What every message between hosts tells of the store and of targets. */
-const knowledgeFields = {
+const commonFields = {
   /** Where the sender can be asked for what it knows: its record may not have come here yet. */
   controlAddress: z.string(),
   /** Revision of the newest change of the store that the sender knows. */
@@ -54,8 +54,8 @@
   /** Names what the sender knows beyond a store that came back from a copy; absent where that is nothing. */
   kept: z.string().optional(),
   /** The newest answer of the store that the sender knows of; absent where there was none. */
-  storeAnswer: storeAnswerSchema.optional(),
-  inFlight: inFlightSchema,
+  storeAnswer: storeConfirmationSchema.optional(),
+  inFlight: inFlightCountsSchema,
   /** How far back the sender knows what ran, in milliseconds. */
   remembered: z.number().nonnegative().default(0),
   /** Use of client accounts' limits; absent where there was none. */
@@ -67,7 +67,7 @@
 };
 
 /** Numbers of reports by the host's name, as rows of text. */
-const countedSchema = z
+const reportSequencesSchema = z
   .string()
   .transform(
     (text) =>
@@ -80,7 +80,7 @@
 export const hostReportSchema = z.object({
   /** The sender's own, one alone. */
   statuses: hostStatusesSchema,
-  ...knowledgeFields,
+  ...commonFields,
 });
 
 /** What a relay tells hosts that rely on it, besides what it knows. */
@@ -89,11 +89,11 @@
   from: z.string(),
   /** The last few changes, so that most receivers need not ask for them. */
   news: deltaResultSchema.omit({ isWhole: true, answeredAgeMilliseconds: true }).optional(),
-  ...knowledgeFields,
+  ...commonFields,
 };
 
 /** What a relay tells other failure domains' relays of its own domain. */
-export const digestSchema = z.object({
+export const domainDigestSchema = z.object({
   failureDomain: z.string(),
   /** Hosts of the domain that are heard. */
   statuses: hostStatusesSchema,
@@ -103,17 +103,17 @@
 /** What a relay tells the hosts of its own failure domain of the whole fleet. */
 export const fleetDigestSchema = z.object({
   /** Registered hosts that take no callers. */
-  absent: startsSchema,
-  regions: toldRegionsSchema,
+  absent: incarnationKeysSchema,
+  regions: regionSummariesSchema,
   /** Reports of the domain's hosts that are counted in, by the host's name. */
-  counted: countedSchema,
+  counted: reportSequencesSchema,
   ...digestFields,
 });
 
 export type DeltaParams = z.infer<typeof deltaParamsSchema>;
 export type DeltaResult = z.infer<typeof deltaResultSchema>;
 export type HostReport = z.infer<typeof hostReportSchema>;
-export type Digest = z.infer<typeof digestSchema>;
+export type DomainDigest = z.infer<typeof domainDigestSchema>;
 export type FleetDigest = z.infer<typeof fleetDigestSchema>;
 /** What every message tells besides its own content. */
-export type Knowledge = Pick<HostReport, keyof typeof knowledgeFields>;
+export type CommonFields = Pick<HostReport, keyof typeof commonFields>;
--- a/packages/entry/src/peers/peer-table.ts
+++ b/packages/entry/src/peers/peer-table.ts
@@ -2,14 +2,14 @@
 import type { EventLog } from '../events.js';
 import type { EntryHostRecord } from '../fleet/fleet-record.js';
 import type { HostStatus, RequestRates } from './host-status.js';
-import type { ToldFleet, ToldRegion } from './told-fleet.js';
-import { isAbsent } from './told-fleet.js';
+import type { FleetSummary, RegionSummary } from './fleet-summary.js';
+import { isAbsent } from './fleet-summary.js';
 
 /**
  * A host of which no new report was heard for this long is taken to be dead or cut off: several
  * reports, and the time that a relay keeps each.
  */
-export const SILENCE_MILLISECONDS = 1_800;
+export const PEER_TIMEOUT_MILLISECONDS = 1_800;
 
 /** What is known about another entry host. */
 export interface Peer extends HostStatus {
@@ -18,11 +18,11 @@
 }
 
 /** How a status came here: from the host itself, or from one that heard it. */
-export type HeardFrom = 'itself' | 'another';
+export type StatusSource = 'itself' | 'another';
 
 /** What a relay told of the whole fleet, and when. */
-interface Told {
-  readonly fleet: ToldFleet;
+interface ReceivedSummary {
+  readonly fleet: FleetSummary;
   readonly at: number;
 }
 
@@ -37,7 +37,7 @@
   readonly #silent = new Map<string, Peer>();
 
   /** What relays told of the whole fleet, by relay. */
-  readonly #told = new Map<string, Told>();
+  readonly #summaries = new Map<string, ReceivedSummary>();
 
   /** @param registeredIncarnation - the start of a host that the store holds, by the host's name */
   constructor(
@@ -57,26 +57,26 @@
 
   /** Whether this start of a registered host runs, as far as is known here. */
   isAlive(host: EntryHostRecord): boolean {
-    return this.#alive.has(host.name) || this.#isTold(host);
+    return this.#alive.has(host.name) || this.#isInSummary(host);
   }
 
   /** Whether this start of a registered host takes callers, as far as is known here. */
-  takesCallers(host: EntryHostRecord): boolean {
-    return this.#alive.has(host.name) ? this.hearsServing(host) : this.#isTold(host);
+  isServing(host: EntryHostRecord): boolean {
+    return this.#alive.has(host.name) ? this.isDirectlyServing(host) : this.#isInSummary(host);
   }
 
   /**
    * Whether this start of a registered host was heard to take callers, without what relays tell of the
    * whole: what a relay itself passes on, or two of them would keep a dead host alive for each other.
    */
-  hearsServing(host: EntryHostRecord): boolean {
+  isDirectlyServing(host: EntryHostRecord): boolean {
     const peer = this.#alive.get(host.name);
     return peer?.incarnation === host.incarnation && !peer.leaving;
   }
 
   /** What relays tell of a region lately; undefined where none does, as at a relay. */
-  toldRegion(region: string): ToldRegion | undefined {
-    for (const { fleet } of this.#told.values()) {
+  regionSummary(region: string): RegionSummary | undefined {
+    for (const { fleet } of this.#summaries.values()) {
       const told = fleet.regions.get(region);
       if (told !== undefined) {
         return told;
@@ -86,20 +86,20 @@
   }
 
   /** What callers of each region ask for, as relays tell lately; undefined where none does. */
-  get toldDemand(): ReadonlyMap<string, RequestRates> | undefined {
-    const [told] = this.#told.values();
+  get regionDemand(): ReadonlyMap<string, RequestRates> | undefined {
+    const [told] = this.#summaries.values();
     return told === undefined
       ? undefined
       : new Map([...told.fleet.regions].map(([region, { asked }]) => [region, asked]));
   }
 
   /** Takes what a relay tells of the whole fleet. */
-  takeTold(relay: string, fleet: ToldFleet): void {
-    this.#told.set(relay, { fleet, at: this.clock.now() });
+  updateFromFleet(relay: string, fleet: FleetSummary): void {
+    this.#summaries.set(relay, { fleet, at: this.clock.now() });
   }
 
   /** Takes what was heard of a host; tells whether it was news. */
-  take(status: HostStatus, from: HeardFrom): boolean {
+  update(status: HostStatus, from: StatusSource): boolean {
     const { name } = status;
     const before = this.#alive.get(name) ?? this.#silent.get(name);
     if (before !== undefined && !this.#isNewer(status, before, from)) {
@@ -109,7 +109,7 @@
     this.#alive.set(name, peer);
     const wasSilent = this.#silent.delete(name);
     if (before?.incarnation !== status.incarnation || wasSilent) {
-      this.#log(peer, true);
+      this.#logTransition(peer, true);
     }
     return true;
   }
@@ -117,23 +117,23 @@
   /** To be called a few times a second: notices hosts that fell silent, and what is told no more. */
   sweep(): void {
     const now = this.clock.now();
-    for (const [relay, { at }] of this.#told) {
-      if (now - at > SILENCE_MILLISECONDS) {
-        this.#told.delete(relay);
+    for (const [relay, { at }] of this.#summaries) {
+      if (now - at > PEER_TIMEOUT_MILLISECONDS) {
+        this.#summaries.delete(relay);
       }
     }
     for (const peer of this.#alive.values()) {
-      if (now - peer.heardAt > SILENCE_MILLISECONDS) {
+      if (now - peer.heardAt > PEER_TIMEOUT_MILLISECONDS) {
         this.#alive.delete(peer.name);
         this.#silent.set(peer.name, peer);
-        this.#log(peer, false);
+        this.#logTransition(peer, false);
       }
     }
   }
 
   /** Whether some relay that is heard does not miss it. */
-  #isTold(host: EntryHostRecord): boolean {
-    for (const { fleet } of this.#told.values()) {
+  #isInSummary(host: EntryHostRecord): boolean {
+    for (const { fleet } of this.#summaries.values()) {
       if (!isAbsent(fleet, host)) {
         return true;
       }
@@ -142,14 +142,14 @@
   }
 
   /** What others tell of another start may be long over; the store knows which one is the last. */
-  #isNewer(status: HostStatus, before: Peer, from: HeardFrom): boolean {
+  #isNewer(status: HostStatus, before: Peer, from: StatusSource): boolean {
     if (status.incarnation === before.incarnation) {
       return status.sequence > before.sequence;
     }
     return from === 'itself' || status.incarnation === this.registeredIncarnation(status.name);
   }
 
-  #log({ name, incarnation, heardAt }: Peer, alive: boolean): void {
+  #logTransition({ name, incarnation, heardAt }: Peer, alive: boolean): void {
     this.events.write({
       event: 'peer',
       peer: name,
--- a/packages/entry/src/peers/peer-usage.ts
+++ b/packages/entry/src/peers/peer-usage.ts
@@ -1,28 +1,28 @@
-import { HeldCounts } from '@ferrylock/routing';
-import type { UsageByName, OthersUsage } from '@ferrylock/routing';
+import { ReportedCounts } from '@ferrylock/routing';
+import type { UsageByName, UsageElsewhere } from '@ferrylock/routing';
 import type { Clock } from '@ferrylock/utils';
 import type { EntryHostRecord } from '../fleet/fleet-record.js';
-import { addCounts, withoutCounts } from './counts.js';
+import { addCounts, subtractCounts } from './counts.js';
 import { loadSource } from './load-source.js';
-import { SILENCE_MILLISECONDS } from './peer-table.js';
-import { startOf } from './told-fleet.js';
+import { PEER_TIMEOUT_MILLISECONDS } from './peer-table.js';
+import { incarnationKey } from './fleet-summary.js';
 
 /** Own reports that are kept until a relay has counted them in. */
 const KEPT_REPORTS = 16;
 
 /** A sum over sources holds for this long: far less than the time that news takes. */
-const REMEMBERED_MILLISECONDS = 50;
+const SUM_CACHE_MILLISECONDS = 50;
 
-const NOTHING: UsageByName = { used: {}, asked: {} };
+const NO_USAGE: UsageByName = { used: {}, demand: {} };
 
 /** What a source asked for last. */
-interface ToldAsked {
-  readonly asked: UsageByName['asked'];
-  readonly toldAt: number;
+interface SourceDemand {
+  readonly asked: UsageByName['demand'];
+  readonly updatedAt: number;
 }
 
 /** Names one start of a host. */
-export type HostStart = Pick<EntryHostRecord, 'name' | 'incarnation'>;
+export type HostIncarnation = Pick<EntryHostRecord, 'name' | 'incarnation'>;
 
 export interface PeerUsageOptions {
   readonly clock: Clock;
@@ -37,22 +37,22 @@
  */
 export class PeerUsage {
   readonly #options: PeerUsageOptions;
-  readonly #used: HeldCounts;
-  readonly #asked = new Map<string, ToldAsked>();
+  readonly #used: ReportedCounts;
+  readonly #asked = new Map<string, SourceDemand>();
   /** The last start of each host that told of itself. */
   readonly #sourceOfHost = new Map<string, string>();
   /** Sums that were made a moment ago. */
-  readonly #others = new Map<string, OthersUsage & { readonly at: number }>();
+  readonly #others = new Map<string, UsageElsewhere & { readonly at: number }>();
   /** This host's last reports, by their number. */
   readonly #reported = new Map<number, UsageByName>();
 
   constructor(options: PeerUsageOptions) {
     this.#options = options;
-    this.#used = new HeldCounts(options.clock, options.windowMilliseconds);
+    this.#used = new ReportedCounts(options.clock, options.windowMilliseconds);
   }
 
   /** This host's own use now, to be reported under a number. */
-  report(sequence: number): UsageByName {
+  recordReport(sequence: number): UsageByName {
     const usage = this.#options.own();
     this.#reported.set(sequence, usage);
     this.#reported.delete(sequence - KEPT_REPORTS);
@@ -60,8 +60,8 @@
   }
 
   /** How a host's present process is named as a source. What its former one used counts for a window more. */
-  sourceOf(start: HostStart): string {
-    const source = loadSource.host(startOf(start));
+  sourceOf(start: HostIncarnation): string {
+    const source = loadSource.host(incarnationKey(start));
     const before = this.#sourceOfHost.get(start.name);
     if (before !== undefined && before !== source) {
       this.#end(before);
@@ -71,22 +71,22 @@
   }
 
   /** Whether a source told of any use. */
-  tells(source: string): boolean {
+  hasDemand(source: string): boolean {
     return Object.keys(this.#asked.get(source)?.asked ?? {}).length > 0;
   }
 
-  take(source: string, usage: UsageByName = NOTHING): void {
-    this.#used.take(source, usage.used);
-    this.#asked.set(source, { asked: usage.asked, toldAt: this.#options.clock.now() });
+  update(source: string, usage: UsageByName = NO_USAGE): void {
+    this.#used.record(source, usage.used);
+    this.#asked.set(source, { asked: usage.demand, updatedAt: this.#options.clock.now() });
   }
 
   /** Requests of an account's window that a source told last. */
   usedOf(source: string, account: string): number {
-    return this.#used.lastOf(source, account);
+    return this.#used.lastReported(source, account);
   }
 
   #end(source: string): void {
-    this.#used.end(source);
+    this.#used.markEnded(source);
     this.#asked.delete(source);
   }
 
@@ -95,11 +95,11 @@
    *
    * @param sequence - the report of this host that is counted in
    */
-  takeFleet(usage: UsageByName = NOTHING, sequence: number): void {
-    const own = this.#reported.get(sequence) ?? NOTHING;
-    this.take(loadSource.fleet, {
-      used: withoutCounts(usage.used, own.used),
-      asked: withoutCounts(usage.asked, own.asked),
+  updateFromFleet(usage: UsageByName = NO_USAGE, sequence: number): void {
+    const own = this.#reported.get(sequence) ?? NO_USAGE;
+    this.update(loadSource.fleet, {
+      used: subtractCounts(usage.used, own.used),
+      demand: subtractCounts(usage.demand, own.demand),
     });
   }
 
@@ -107,23 +107,23 @@
   sum(isCounted: (source: string) => boolean, more: UsageByName): UsageByName {
     const used = this.#used.sum(isCounted);
     addCounts(used, more.used);
-    const asked: Record<string, number> = { ...more.asked };
+    const asked: Record<string, number> = { ...more.demand };
     for (const [source, told] of this.#asked) {
       if (isCounted(source)) {
         addCounts(asked, told.asked);
       }
     }
-    return { used, asked };
+    return { used, demand: asked };
   }
 
   /**
    * All other hosts together, as of a moment ago. Of a host that has just become a relay, or is one no longer,
    * the parts or the whole are old: the larger of the two counts.
    */
-  others(account: string): OthersUsage {
+  others(account: string): UsageElsewhere {
     const now = this.#options.clock.now();
     const known = this.#others.get(account);
-    if (known !== undefined && now - known.at < REMEMBERED_MILLISECONDS) {
+    if (known !== undefined && now - known.at < SUM_CACHE_MILLISECONDS) {
       return known;
     }
     const summed = { ...this.#sumOthers(account), at: now };
@@ -131,13 +131,13 @@
     return summed;
   }
 
-  #sumOthers(account: string): OthersUsage {
+  #sumOthers(account: string): UsageElsewhere {
     const isFleet = (source: string): boolean => source === loadSource.fleet;
     return {
-      used: Math.max(this.#used.of(account, loadSource.isPart), this.#used.of(account, isFleet)),
-      askedPerSecond: Math.max(
-        this.#askedOf(account, loadSource.isPart),
-        this.#askedOf(account, isFleet),
+      used: Math.max(this.#used.of(account, loadSource.isPartial), this.#used.of(account, isFleet)),
+      demandPerSecond: Math.max(
+        this.#demandOf(account, loadSource.isPartial),
+        this.#demandOf(account, isFleet),
       ),
     };
   }
@@ -145,9 +145,9 @@
   /** To be called a few times a second. */
   sweep(): void {
     this.#used.sweep();
-    this.#forgetSums();
-    const oldest = this.#options.clock.now() - SILENCE_MILLISECONDS;
-    for (const [source, { toldAt }] of this.#asked) {
+    this.#evictSums();
+    const oldest = this.#options.clock.now() - PEER_TIMEOUT_MILLISECONDS;
+    for (const [source, { updatedAt: toldAt }] of this.#asked) {
       if (toldAt < oldest) {
         this.#asked.delete(source);
       }
@@ -155,7 +155,7 @@
   }
 
   /** Names come and go with starts of targets. */
-  #forgetSums(): void {
+  #evictSums(): void {
     const oldest = this.#options.clock.now() - this.#options.windowMilliseconds;
     for (const [name, { at }] of this.#others) {
       if (at < oldest) {
@@ -164,7 +164,7 @@
     }
   }
 
-  #askedOf(account: string, isCounted: (source: string) => boolean): number {
+  #demandOf(account: string, isCounted: (source: string) => boolean): number {
     let total = 0;
     for (const [source, { asked }] of this.#asked) {
       total += isCounted(source) ? (asked[account] ?? 0) : 0;
--- a/packages/entry/src/peers/relay-plan.ts
+++ b/packages/entry/src/peers/relay-plan.ts
@@ -3,7 +3,7 @@
 import type { EntryHostRecord } from '../fleet/fleet-record.js';
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { PeerTable } from './peer-table.js';
-import { SILENCE_MILLISECONDS } from './peer-table.js';
+import { PEER_TIMEOUT_MILLISECONDS } from './peer-table.js';
 
 /** Hosts of a failure domain that pass on what the others tell, so that one of them may fail. */
 export const RELAYS_PER_DOMAIN = 2;
@@ -20,26 +20,26 @@
   /** Whether others rely on this host to pass on what it hears. */
   readonly isRelay: boolean;
   /** Hosts that take its report. */
-  readonly reports: readonly EntryHostRecord[];
+  readonly reportRecipients: readonly EntryHostRecord[];
   /**
    * Hosts of the own failure domain that it tells of the fleet: those whose callers ask for
    * something, and the others. None unless it is a relay.
    */
-  readonly askingMembers: readonly EntryHostRecord[];
-  readonly quietMembers: readonly EntryHostRecord[];
+  readonly activeMembers: readonly EntryHostRecord[];
+  readonly idleMembers: readonly EntryHostRecord[];
   /** Relays of other failure domains of its region that it tells of its own; none unless a relay. */
-  readonly nearRelays: readonly EntryHostRecord[];
+  readonly sameRegionRelays: readonly EntryHostRecord[];
   /** The same of other regions. */
-  readonly farRelays: readonly EntryHostRecord[];
+  readonly otherRegionRelays: readonly EntryHostRecord[];
 }
 
 /** What a host that is no relay tells beside its reports. */
-const NO_RELAY = {
+const NON_RELAY_RECIPIENTS = {
   isRelay: false,
-  askingMembers: [],
-  quietMembers: [],
-  nearRelays: [],
-  farRelays: [],
+  activeMembers: [],
+  idleMembers: [],
+  sameRegionRelays: [],
+  otherRegionRelays: [],
 } as const;
 
 /**
@@ -50,16 +50,16 @@
 export class RelayPlan {
   readonly #options: RelayPlanOptions;
   /** When each start of a host was first seen in the store. */
-  readonly #seenAt = new Map<string, number>();
+  readonly #firstSeenAt = new Map<string, number>();
   /** Registered hosts by failure domain, those first that are to be relays; made when needed. */
-  #ranked: ReadonlyMap<string, readonly EntryHostRecord[]> | undefined;
+  #rankByCapacity: ReadonlyMap<string, readonly EntryHostRecord[]> | undefined;
   #turn = 0;
 
   constructor(options: RelayPlanOptions) {
     this.#options = options;
     options.view.onChanges((changes) => {
       if (changes.some(({ record }) => record === undefined || record.kind === 'entryHost')) {
-        this.#ranked = undefined;
+        this.#rankByCapacity = undefined;
       }
     });
   }
@@ -83,7 +83,7 @@
     const isHeard = (host: EntryHostRecord): boolean => peers.isAlive(host);
     const reports = others.some(isHeard) ? others.filter(isRelay) : others;
     if (!relays.includes(own.name)) {
-      return { ...NO_RELAY, reports };
+      return { ...NON_RELAY_RECIPIENTS, reportRecipients: reports };
     }
     this.#turn++;
     const place = relays.indexOf(own.name) + this.#turn;
@@ -95,20 +95,20 @@
       Object.keys(peers.get(name)?.asked ?? {}).length > 0;
     const foreignRelays = [...this.#domains]
       .filter(([name]) => name !== own.failureDomain)
-      .flatMap(([, hosts]) => this.#reachable(hosts, isTurn));
+      .flatMap(([, hosts]) => this.#scheduledRelays(hosts, isTurn));
     const isNear = ({ region }: EntryHostRecord): boolean => region === own.region;
     return {
       isRelay: true,
-      reports,
-      askingMembers: members.filter(asks),
-      quietMembers: members.filter((host) => !asks(host)),
-      nearRelays: foreignRelays.filter(isNear),
-      farRelays: foreignRelays.filter((host) => !isNear(host)),
+      reportRecipients: reports,
+      activeMembers: members.filter(asks),
+      idleMembers: members.filter((host) => !asks(host)),
+      sameRegionRelays: foreignRelays.filter(isNear),
+      otherRegionRelays: foreignRelays.filter((host) => !isNear(host)),
     };
   }
 
   /** Those of its relays whose turn it is; where none of its hosts is heard, each of them in turn. */
-  #reachable(
+  #scheduledRelays(
     hosts: readonly EntryHostRecord[],
     isTurn: (host: EntryHostRecord, index: number) => boolean,
   ): EntryHostRecord[] {
@@ -126,7 +126,7 @@
   #relays(hosts: readonly EntryHostRecord[]): EntryHostRecord[] {
     const relays: EntryHostRecord[] = [];
     for (const host of hosts) {
-      if (relays.length < RELAYS_PER_DOMAIN && this.#mayRun(host)) {
+      if (relays.length < RELAYS_PER_DOMAIN && this.#isPresumedAlive(host)) {
         relays.push(host);
       }
     }
@@ -134,8 +134,8 @@
   }
 
   get #domains(): ReadonlyMap<string, readonly EntryHostRecord[]> {
-    this.#ranked ??= this.#rank();
-    return this.#ranked;
+    this.#rankByCapacity ??= this.#rank();
+    return this.#rankByCapacity;
   }
 
   #rank(): Map<string, readonly EntryHostRecord[]> {
@@ -144,7 +144,10 @@
     const others = registered.filter(({ name }) => name !== own.name);
     const domains = new Map<string, EntryHostRecord[]>();
     for (const host of [own, ...others]) {
-      this.#seenAt.set(host.incarnation, this.#seenAt.get(host.incarnation) ?? clock.now());
+      this.#firstSeenAt.set(
+        host.incarnation,
+        this.#firstSeenAt.get(host.incarnation) ?? clock.now(),
+      );
       const hosts = domains.get(host.failureDomain) ?? [];
       hosts.push(host);
       domains.set(host.failureDomain, hosts);
@@ -153,13 +156,13 @@
   }
 
   /** Heard of, or registered so lately that it may not have been heard yet. */
-  #mayRun(host: EntryHostRecord): boolean {
+  #isPresumedAlive(host: EntryHostRecord): boolean {
     const { clock, peers, own } = this.#options;
     if (host.name === own.name || peers.isAlive(host)) {
       return true;
     }
-    const seenAt = this.#seenAt.get(host.incarnation) ?? -Infinity;
-    return clock.now() - seenAt < SILENCE_MILLISECONDS;
+    const seenAt = this.#firstSeenAt.get(host.incarnation) ?? -Infinity;
+    return clock.now() - seenAt < PEER_TIMEOUT_MILLISECONDS;
   }
 }
 
--- a/packages/entry/src/peers/store-answers.ts
+++ b/packages/entry/src/peers/store-confirmations.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 
 /** That the store itself told a host at some time that it held nothing newer than a change. */
-export const storeAnswerSchema = z.object({
+export const storeConfirmationSchema = z.object({
   /** Host and start that were answered. */
   name: z.string(),
   incarnation: z.string(),
@@ -15,11 +15,11 @@
 });
 
 /** An answer as it travels, with its age at the time of sending. */
-export type StoreAnswer = z.infer<typeof storeAnswerSchema>;
+export type StoreConfirmation = z.infer<typeof storeConfirmationSchema>;
 
 /** An answer as it is kept, by this host's own clock. */
-interface KeptAnswer extends Omit<StoreAnswer, 'ageMilliseconds'> {
-  readonly at: number;
+interface StoredConfirmation extends Omit<StoreConfirmation, 'ageMilliseconds'> {
+  readonly confirmedAt: number;
 }
 
 /**
@@ -27,36 +27,36 @@
  * once, by the number of the report that told it first: otherwise it would grow younger on each way
  * between hosts by the time of the message, and go round for ever.
  */
-export class StoreAnswers {
+export class StoreConfirmations {
   readonly #clock: Clock;
   /** Newest report taken of each host. */
-  readonly #taken = new Map<string, { incarnation: string; sequence: number }>();
-  #newest: KeptAnswer | undefined;
+  readonly #recorded = new Map<string, { incarnation: string; sequence: number }>();
+  #newest: StoredConfirmation | undefined;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   /** The newest answer, with its present age; undefined before the first. */
-  get newest(): StoreAnswer | undefined {
+  get newest(): StoreConfirmation | undefined {
     if (this.#newest === undefined) {
       return undefined;
     }
-    const { at, ...answer } = this.#newest;
+    const { confirmedAt: at, ...answer } = this.#newest;
     return { ...answer, ageMilliseconds: Math.round(this.#clock.now() - at) };
   }
 
   /** Takes an answer that was heard of; tells when it was given, or undefined where it is not new. */
-  take(answer: StoreAnswer): number | undefined {
+  record(answer: StoreConfirmation): number | undefined {
     const { name, incarnation, sequence, lastChange, epoch, ageMilliseconds } = answer;
-    const taken = this.#taken.get(name);
+    const taken = this.#recorded.get(name);
     if (taken?.incarnation === incarnation && taken.sequence >= sequence) {
       return undefined;
     }
-    this.#taken.set(name, { incarnation, sequence });
+    this.#recorded.set(name, { incarnation, sequence });
     const at = this.#clock.now() - ageMilliseconds;
-    if (at > (this.#newest?.at ?? -Infinity)) {
-      this.#newest = { name, incarnation, sequence, lastChange, epoch, at };
+    if (at > (this.#newest?.confirmedAt ?? -Infinity)) {
+      this.#newest = { name, incarnation, sequence, lastChange, epoch, confirmedAt: at };
     }
     return at;
   }
--- a/packages/entry/src/peers/report-socket.ts
+++ b/packages/entry/src/peers/udp-transport.ts
@@ -2,10 +2,10 @@
 import type { Socket } from 'node:dgram';
 import type { EventLog } from '../events.js';
 import { splitAddress } from '../address.js';
-import type { Datagrams } from './datagrams.js';
+import type { DatagramTransport } from './datagram-transport.js';
 
 /** Sends and takes messages by UDP. */
-export class ReportSocket implements Datagrams {
+export class UdpTransport implements DatagramTransport {
   readonly #socket: Socket;
 
   constructor(
--- a/packages/entry/src/peers/view-exchange.ts
+++ b/packages/entry/src/peers/view-exchange.ts
@@ -10,7 +10,7 @@
  * Shortest time between two calls to peers. While many changes come one after the other, as where all
  * hosts start, each message tells of a newer one; one call brings all of them.
  */
-const FETCH_PAUSE_MILLISECONDS = 150;
+const MIN_FETCH_INTERVAL_MILLISECONDS = 150;
 
 export interface ViewExchangeOptions {
   readonly clock: Clock;
@@ -34,11 +34,11 @@
   /** Answers a peer that asks for what it does not know yet. */
   deltaFor({ afterRevision, afterEpoch }: DeltaParams): DeltaResult {
     const { view } = this.#options;
-    const age = this.#answeredAge();
+    const age = this.#storeAnswerAge();
     const after = { epoch: afterEpoch, revision: afterRevision };
     const isFurther = epochOf(after) > view.epoch;
-    const delta = afterRevision === 0 || isFurther ? undefined : view.deltaAfter(after);
-    const { kept = [], ...known } = delta ?? view.whole();
+    const delta = afterRevision === 0 || isFurther ? undefined : view.deltaSince(after);
+    const { kept = [], ...known } = delta ?? view.snapshot();
     return {
       isWhole: delta === undefined,
       ...known,
@@ -77,13 +77,13 @@
     if (answeredAgeMilliseconds !== undefined && epochOf(answer) === view.epoch) {
       view.confirm(view.lastChange, askedAt - answeredAgeMilliseconds);
     }
-    this.logView(address, answer);
+    this.logChanges(address, answer);
   }
 
   /** Asks a peer, by its address, unless a call is under way or has just been; tells whether it does. */
-  fetchUnlessUnderWay(address: string): boolean {
+  fetchIfIdle(address: string): boolean {
     const now = this.#options.clock.now();
-    if (this.#isFetching || now - this.#fetchedAt < FETCH_PAUSE_MILLISECONDS) {
+    if (this.#isFetching || now - this.#fetchedAt < MIN_FETCH_INTERVAL_MILLISECONDS) {
       return false;
     }
     this.#fetchedAt = now;
@@ -95,14 +95,17 @@
   }
 
   /** Writes which keys others' news was about. */
-  logView(source: string, { revision, changes }: Pick<DeltaResult, 'revision' | 'changes'>): void {
+  logChanges(
+    source: string,
+    { revision, changes }: Pick<DeltaResult, 'revision' | 'changes'>,
+  ): void {
     if (changes.length > 0) {
       const keys = changes.map(({ key }) => key);
       this.#options.events.write({ event: 'view', source, revision, changes: keys });
     }
   }
 
-  #answeredAge(): number | undefined {
+  #storeAnswerAge(): number | undefined {
     const { clock, storeAnsweredAt } = this.#options;
     const age = clock.now() - storeAnsweredAt();
     return Number.isFinite(age) ? Math.round(age) : undefined;
--- a/packages/entry/src/request/body-reader.ts
+++ b/packages/entry/src/request/body-reader.ts
@@ -7,38 +7,38 @@
 export type BodyFailure = 'too-large' | 'too-many-bytes-held' | 'too-late' | 'caller-gone';
 
 /** What one body may take. */
-export interface BodyBounds {
-  readonly mostBytes: number;
+export interface BodyLimits {
+  readonly maxBytes: number;
   /** When it must have come whole, in monotonic milliseconds; infinite where nothing bounds it. */
-  readonly endAt: number;
+  readonly deadlineAt: number;
 }
 
 /** Reads bodies whole, so that they can be sent to a second target, within a bound on all of them. */
 export class BodyReader {
   #heldBytes = 0;
 
-  /** @param mostHeldBytes - bytes of all bodies together */
+  /** @param maxBufferedBytes - bytes of all bodies together */
   constructor(
     readonly clock: Clock,
-    readonly mostHeldBytes: number,
+    readonly maxBufferedBytes: number,
   ) {}
 
   /** The body, or undefined where the request has none. */
   async read(
     request: IncomingMessage,
-    bounds: BodyBounds,
+    bounds: BodyLimits,
   ): Promise<Result<Buffer | undefined, BodyFailure>> {
     const declared = request.headers['content-length'];
     const isChunked = request.headers['transfer-encoding'] !== undefined;
     if (!isChunked && (declared === undefined || declared === '0')) {
       return Ok(undefined);
     }
-    if (Number(declared ?? 0) > bounds.mostBytes) {
+    if (Number(declared ?? 0) > bounds.maxBytes) {
       return Err('too-large');
     }
     const end = this.#endOf(bounds);
     try {
-      return await this.#collect(request, bounds.mostBytes, end.reached);
+      return await this.#collect(request, bounds.maxBytes, end.reached);
     } finally {
       end.cancel();
     }
@@ -78,7 +78,7 @@
         if (bytes > mostBytes) {
           return giveUp('too-large');
         }
-        if (this.#heldBytes > this.mostHeldBytes) {
+        if (this.#heldBytes > this.maxBufferedBytes) {
           return giveUp('too-many-bytes-held');
         }
       }
@@ -88,7 +88,7 @@
     }
   }
 
-  #endOf({ endAt }: BodyBounds): { reached: Promise<'too-late'>; cancel: () => void } {
+  #endOf({ deadlineAt: endAt }: BodyLimits): { reached: Promise<'too-late'>; cancel: () => void } {
     let cancel = (): void => undefined;
     const reached = new Promise<'too-late'>((resolve) => {
       if (Number.isFinite(endAt)) {
--- a/packages/entry/src/request/caller-exchange.ts
+++ b/packages/entry/src/request/caller-exchange.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { ClientAccount, Route } from '@ferrylock/routing';
-import type { CallerDemand } from './dialect.js';
+import type { RequestMetadata } from './header-codec.js';
 
 /** A caller's request while it is under way. */
 export interface CallerExchange {
@@ -8,7 +8,7 @@
   readonly response: ServerResponse;
   /** Path and query as the caller sent them. */
   readonly path: string;
-  readonly demand: CallerDemand;
+  readonly metadata: RequestMetadata;
   /** When it came in, in monotonic milliseconds. */
   readonly arrivedAt: number;
 }
@@ -24,10 +24,10 @@
   readonly version: number;
   readonly body: Buffer | undefined;
   /** When it must have its final answer. */
-  readonly endAt: number;
+  readonly deadlineAt: number;
 }
 
 /** What the choice of target is bound to: the object, or the request where objects do not matter. */
-export function keyOf({ route, demand, requestId }: RoutedExchange): string {
+export function affinityKeyOf({ route, metadata: demand, requestId }: RoutedExchange): string {
   return route.hasAffinity ? (demand.affinityKey ?? requestId) : requestId;
 }
--- a/packages/entry/src/request/decimal-header.ts
+++ b/packages/entry/src/request/decimal-header.ts
@@ -11,7 +11,7 @@
  *
  * @returns undefined where there is no header, NaN where none of its values can be read
  */
-export function readDecimal(
+export function parseDecimalHeader(
   header: string | string[] | undefined,
   choose: (...values: number[]) => number,
 ): number | undefined {
--- a/packages/entry/src/request/pass-on-headers.ts
+++ b/packages/entry/src/request/forwardable-headers.ts
@@ -21,7 +21,7 @@
  *
  * @param own - names of headers that are meant for this host and end here
  */
-export function passOnHeaders(
+export function forwardableHeaders(
   headers: IncomingHttpHeaders,
   own = NONE,
 ): Record<string, string | string[]> {
--- a/packages/entry/src/request/dialect.ts
+++ b/packages/entry/src/request/header-codec.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
 
 /** What a caller says with its request, besides method, path and body. */
-export interface CallerDemand {
+export interface RequestMetadata {
   /** Names this try of the caller; undefined where it is missing. */
   readonly requestId: string | undefined;
   /** How long the caller waits; undefined where it does not say, NaN where it makes no sense. */
@@ -13,7 +13,7 @@
 }
 
 /** What a target is told with a request, besides what the caller sent. */
-export interface TargetInstruction {
+export interface ForwardMetadata {
   /** How long the target may work on it. */
   readonly deadlineMilliseconds: number;
   /** The start of the target that alone is to run it. */
@@ -23,7 +23,7 @@
 }
 
 /** What a target's answer says of itself, besides status and body. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** The request's id as the target gives it back; undefined where it does not. */
   readonly requestId: string | undefined;
   /** The target's word that it has not run the request and will not. */
@@ -53,13 +53,13 @@
 }
 
 /** How callers and targets name what they say in headers. */
-export interface HeaderDialect {
+export interface HeaderCodec {
   /** Names of callers' headers that end here, in lower case. */
-  readonly callerHeaders: ReadonlySet<string>;
-  readDemand(headers: IncomingHttpHeaders): CallerDemand;
+  readonly consumedHeaders: ReadonlySet<string>;
+  decodeRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /** Headers that go to the target in place of the caller's of the same names. */
-  instruct(instruction: TargetInstruction): Record<string, string>;
-  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+  encodeForward(instruction: ForwardMetadata): Record<string, string>;
+  decodeResponse(status: number, headers: IncomingHttpHeaders): ResponseMetadata;
   /** Headers of an answer that this host gives itself. */
-  ownAnswerHeaders(requestId: string | undefined): Record<string, string>;
+  localReplyHeaders(requestId: string | undefined): Record<string, string>;
 }
--- a/packages/entry/src/request/refusal.ts
+++ b/packages/entry/src/request/refusal.ts
@@ -37,7 +37,7 @@
   /** When it makes sense to ask again, on average: callers are spread around it. */
   readonly retryAfterSeconds?: number;
   /** Whether asking before that time is of no use, so that callers are spread after it. */
-  readonly isEarliest?: boolean;
+  readonly isLowerBound?: boolean;
   /** Targets that rest, where that is why; the first few whose rest ends. */
   readonly resting?: readonly string[];
   /** Targets whose limit is used up, where that is why. */
@@ -51,7 +51,7 @@
 }
 
 /** Whether a caller is told when to ask again: nothing ran, and it may be otherwise by then. */
-export function mayComeBack({ reason, ran, retryAfterSeconds }: Refusal): boolean {
+export function isRetryable({ reason, ran, retryAfterSeconds }: Refusal): boolean {
   return ran === 'no' && (reason !== 'targets-end' || retryAfterSeconds !== undefined);
 }
 
--- a/packages/entry/src/request/own-refusals.ts
+++ b/packages/entry/src/request/refusals.ts
@@ -1,4 +1,4 @@
-import type { CommonWait, QuotaRefusal } from '@ferrylock/routing';
+import type { TargetAvailability, QuotaRefusal } from '@ferrylock/routing';
 import type { BodyFailure } from './body-reader.js';
 import type { Refusal } from './refusal.js';
 
@@ -40,10 +40,13 @@
  * All targets that might take it rest, or get as many requests as they named. A request that some of them turned away before
  * keeps that as its reason.
  */
-export function allWait(refusal: Refusal, { milliseconds, resting, limited }: CommonWait): Refusal {
+export function withCommonWait(
+  refusal: Refusal,
+  { milliseconds, resting, limited }: TargetAvailability,
+): Refusal {
   const wait = {
     retryAfterSeconds: milliseconds / MILLISECONDS_PER_SECOND,
-    isEarliest: true,
+    isLowerBound: true,
     ...(resting.length === 0 ? {} : { resting }),
     ...(limited.length === 0 ? {} : { limited }),
   };
--- a/packages/entry/src/request/request-forwarder.ts
+++ b/packages/entry/src/request/request-forwarder.ts
@@ -7,34 +7,34 @@
   TargetLimits,
   TargetState,
 } from '@ferrylock/routing';
-import { ShareBalancer } from '@ferrylock/routing';
+import { TrafficSplitter } from '@ferrylock/routing';
 import type { Clock } from '@ferrylock/utils';
-import type { AccountDuty } from '../accounts/account-duty.js';
+import type { AccountLimitController } from '../accounts/account-limit-controller.js';
 import type { RoutingState } from '../routing/routing-state.js';
-import type { AnswerWriter } from './answer-writer.js';
+import type { ResponseWriter } from './response-writer.js';
 import type { BodyReader } from './body-reader.js';
 import type { CallerExchange, RoutedExchange } from './caller-exchange.js';
-import { keyOf } from './caller-exchange.js';
+import { affinityKeyOf } from './caller-exchange.js';
 import { describeVerdict } from './describe-verdict.js';
-import type { HeaderDialect } from './dialect.js';
+import type { HeaderCodec } from './header-codec.js';
 import type { EventLog } from '../events.js';
-import type { SuspectDuty } from '../suspects/suspect-duty.js';
-import type { TargetEnds } from '../suspects/target-ends.js';
+import type { SuspectController } from '../suspects/suspect-controller.js';
+import type { TargetCrashDetector } from '../suspects/target-crash-detector.js';
 import {
   ADMISSION_DETAILS,
-  allWait,
+  withCommonWait,
   badRequest,
   bodyRefusal,
   notReady,
   overQuota,
-} from './own-refusals.js';
+} from './refusals.js';
 import type { Refusal, RefusalReason } from './refusal.js';
 import type { RequestMetrics } from './request-metrics.js';
 import { RequestProgress } from './request-progress.js';
 import type { TargetClient } from './target-client.js';
-import type { EndCause, SendVerdict } from './target-send.js';
+import type { CancelCause, SendVerdict } from './target-send.js';
 import { TargetSend } from './target-send.js';
-import type { TargetWords } from './target-words.js';
+import type { TargetSignalRecorder } from './target-signal-recorder.js';
 
 /** Deadline of a caller that names none: the route's own timeout ends it sooner. */
 const NO_DEADLINE = Infinity;
@@ -51,19 +51,19 @@
   readonly events: EventLog;
   readonly state: RoutingState;
   /** Keeps client accounts to their limits. */
-  readonly accounts: AccountDuty;
+  readonly accounts: AccountLimitController;
   readonly client: TargetClient;
-  readonly ends: TargetEnds;
-  readonly suspects: SuspectDuty;
-  readonly words: TargetWords;
+  readonly crashDetector: TargetCrashDetector;
+  readonly suspects: SuspectController;
+  readonly signalRecorder: TargetSignalRecorder;
   readonly limits: TargetLimits;
-  readonly dialect: HeaderDialect;
-  readonly bodies: BodyReader;
-  readonly answers: AnswerWriter;
+  readonly codec: HeaderCodec;
+  readonly bodyReader: BodyReader;
+  readonly responses: ResponseWriter;
   readonly metrics: RequestMetrics;
   readonly ownName: string;
   /** Whether this process ran late lately, so that callers may have left whose requests it reads. */
-  readonly isBehind: () => boolean;
+  readonly isLagging: () => boolean;
   /** Names of all entry hosts, this one included; the same array while nothing changes. */
   readonly hosts: () => readonly string[];
   /** Names of the large ones among them, which have requests to send; likewise the same array. */
@@ -77,7 +77,7 @@
 }
 
 /** A request on its way through targets. */
-interface Journey {
+interface ForwardingState {
   readonly exchange: RoutedExchange;
   readonly service: ServiceTargets;
   readonly progress: RequestProgress;
@@ -87,16 +87,22 @@
 /** Takes callers' requests to targets and sees to their answers. */
 export class RequestForwarder {
   readonly #options: RequestForwarderOptions;
-  readonly #shares = new ShareBalancer();
+  readonly #shares = new TrafficSplitter();
 
   constructor(options: RequestForwarderOptions) {
     this.#options = options;
   }
 
   async handle(request: IncomingMessage, response: ServerResponse, path: string): Promise<void> {
-    const { clock, dialect, metrics, bodies, answers } = this.#options;
-    const demand = dialect.readDemand(request.headers);
-    const exchange = { request, response, path, demand, arrivedAt: clock.now() };
+    const {
+      clock,
+      codec: dialect,
+      metrics,
+      bodyReader: bodies,
+      responses: answers,
+    } = this.#options;
+    const demand = dialect.decodeRequest(request.headers);
+    const exchange = { request, response, path, metadata: demand, arrivedAt: clock.now() };
     metrics.inFlight++;
     let body: Buffer | undefined;
     try {
@@ -117,8 +123,8 @@
 
   /** Finds the route and reads the body, or says why neither is to be had. */
   async #route(exchange: CallerExchange): Promise<RoutedExchange | RefusedExchange> {
-    const { state, bodies, accounts } = this.#options;
-    const { request, demand, path, arrivedAt } = exchange;
+    const { state, bodyReader: bodies, accounts } = this.#options;
+    const { request, metadata: demand, path, arrivedAt } = exchange;
     const { active } = state;
     if (active === undefined) {
       return notReady();
@@ -139,12 +145,15 @@
     if (Number.isNaN(deadlineMilliseconds)) {
       return badRequest('expected a deadline in whole milliseconds');
     }
-    const refusal = account === undefined ? undefined : accounts.take(account);
+    const refusal = account === undefined ? undefined : accounts.acquire(account);
     if (refusal !== undefined) {
       return { ...overQuota(refusal), account, route };
     }
     const endAt = arrivedAt + Math.min(deadlineMilliseconds, route.timeoutMilliseconds);
-    const body = await bodies.read(request, { mostBytes: active.limits.mostBodyBytes, endAt });
+    const body = await bodies.read(request, {
+      maxBytes: active.limits.mostBodyBytes,
+      deadlineAt: endAt,
+    });
     if (body.isErr()) {
       this.#settle(account, 0);
       return { ...bodyRefusal(body.error), account, route };
@@ -156,26 +165,26 @@
       route,
       version: active.version,
       body: body.value,
-      endAt,
+      deadlineAt: endAt,
     };
   }
 
   async #forward(exchange: RoutedExchange): Promise<void> {
-    const { state, clock, answers } = this.#options;
-    const service = state.service(this.#shares.choose(exchange.route, keyOf(exchange)));
+    const { state, clock, responses: answers } = this.#options;
+    const service = state.service(this.#shares.pick(exchange.route, affinityKeyOf(exchange)));
     if (service === undefined) {
       const detail = 'the service has no targets';
       this.#settle(exchange.account, 0);
       answers.refuse(exchange, { reason: 'no-target', detail, ran: 'no' });
       return;
     }
-    service.retries.recordRequest();
-    service.asked.record();
+    service.retryBudget.recordRequest();
+    service.requestRate.record();
     const progress = new RequestProgress(exchange.route);
-    const journey: Journey = { exchange, service, progress, send: undefined };
-    const end = (cause: EndCause): void => {
-      progress.endedBy ??= cause;
-      journey.send?.end(cause);
+    const journey: ForwardingState = { exchange, service, progress, send: undefined };
+    const end = (cause: CancelCause): void => {
+      progress.cancelledBy ??= cause;
+      journey.send?.cancel(cause);
     };
     const onClose = (): void => {
       if (!exchange.response.writableFinished) {
@@ -183,11 +192,11 @@
       }
     };
     exchange.response.on('close', onClose);
-    const cancelTimer = clock.after(Math.max(0, exchange.endAt - clock.now()), () => {
+    const cancelTimer = clock.after(Math.max(0, exchange.deadlineAt - clock.now()), () => {
       end('deadline');
     });
     try {
-      if (this.#options.isBehind() && (await hasLeft(exchange))) {
+      if (this.#options.isLagging() && (await hasLeft(exchange))) {
         end('caller-gone');
       }
       await this.#tryTargets(journey);
@@ -205,11 +214,11 @@
     }
   }
 
-  async #tryTargets(journey: Journey): Promise<void> {
+  async #tryTargets(journey: ForwardingState): Promise<void> {
     const { exchange, service, progress } = journey;
     for (;;) {
       const mayRun = await this.#mayRun(journey);
-      const isOpen = mayRun && progress.endedBy === undefined;
+      const isOpen = mayRun && progress.cancelledBy === undefined;
       const target = isOpen ? this.#chooseTarget(journey) : undefined;
       if (target === undefined) {
         this.#finish(journey);
@@ -219,9 +228,9 @@
       const send = new TargetSend({ ...this.#options, exchange, service, target });
       journey.send = send;
       const verdict = await send.verdict;
-      const next = progress.take(verdict);
+      const next = progress.recordVerdict(verdict);
       if (verdict.kind === 'answered' && next === 'deliver') {
-        this.#options.answers.deliver(exchange, verdict.answer, this.#originOf(journey, target));
+        this.#options.responses.deliver(exchange, verdict.answer, this.#originOf(journey, target));
         return;
       }
       this.#logFailedTry(journey, target, verdict);
@@ -233,33 +242,33 @@
   }
 
   /** Whether targets may run it; looked at before each send, since other hosts may know more by then. */
-  async #mayRun({ exchange, progress }: Journey): Promise<boolean> {
+  async #mayRun({ exchange, progress }: ForwardingState): Promise<boolean> {
     const { suspects } = this.#options;
-    const fingerprint = suspects.find(exchange);
+    const fingerprint = suspects.findFingerprint(exchange);
     if (fingerprint === undefined || (await suspects.mayRun(fingerprint))) {
       return true;
     }
-    progress.turnAway(suspects.returnSeconds(fingerprint));
+    progress.rejectSuspect(suspects.retryAfterSeconds(fingerprint));
     return false;
   }
 
-  #chooseTarget({ exchange, service, progress }: Journey): TargetState | undefined {
+  #chooseTarget({ exchange, service, progress }: ForwardingState): TargetState | undefined {
     const { largeHosts, ownName, state } = this.#options;
     const { route } = exchange;
-    return service.choose({
+    return service.select({
       route,
-      key: keyOf(exchange),
+      key: affinityKeyOf(exchange),
       tried: progress.tried,
-      leastUrgent: state.active?.leastUrgent ?? route.priority,
+      lowestPriority: state.active?.leastUrgent ?? route.priority,
       ownName,
       coldSenders: largeHosts(),
     });
   }
 
   /** Whether a further send may follow; one that is a second arrival draws on the allowance. */
-  #mayTryAgain({ service }: Journey, isFirstArrival: boolean): boolean {
+  #mayTryAgain({ service }: ForwardingState, isFirstArrival: boolean): boolean {
     const { hosts, metrics } = this.#options;
-    if (!isFirstArrival && !service.retries.tryTake(hosts().length)) {
+    if (!isFirstArrival && !service.retryBudget.tryAcquire(hosts().length)) {
       return false;
     }
     metrics.retries++;
@@ -267,10 +276,10 @@
   }
 
   /** Gives the best answer that there is after the last send. */
-  #finish(journey: Journey): void {
+  #finish(journey: ForwardingState): void {
     const { exchange, progress } = journey;
-    const { answers } = this.#options;
-    if (progress.endedBy === 'caller-gone') {
+    const { responses: answers } = this.#options;
+    if (progress.cancelledBy === 'caller-gone') {
       return;
     }
     const { outcome } = progress;
@@ -282,26 +291,26 @@
   }
 
   /** Adds when a caller may come back that was refused for lack of room. */
-  #withReturn(refusal: Refusal, { exchange: { route }, service }: Journey): Refusal {
+  #withReturn(refusal: Refusal, { exchange: { route }, service }: ForwardingState): Refusal {
     const leastUrgent = this.#options.state.active?.leastUrgent ?? route.priority;
-    const clearing = service.clearingMilliseconds(route, leastUrgent);
+    const clearing = service.backlogMilliseconds(route, leastUrgent);
     const isForRoom = FOR_ROOM.has(refusal.reason);
-    const wait = isForRoom ? service.commonWait(route) : undefined;
+    const wait = isForRoom ? service.earliestAvailability(route) : undefined;
     if (wait !== undefined) {
-      return allWait(refusal, wait);
+      return withCommonWait(refusal, wait);
     }
     return isForRoom && clearing !== undefined
       ? { ...refusal, retryAfterSeconds: clearing / MILLISECONDS_PER_SECOND }
       : refusal;
   }
 
-  #originOf({ progress }: Journey, target: TargetState | undefined) {
+  #originOf({ progress }: ForwardingState, target: TargetState | undefined) {
     const load = target?.load(this.#options.clock.now()) ?? 0;
     return { target: target?.id ?? '', load, attempts: progress.attempts };
   }
 
   #logFailedTry(
-    { exchange, progress, send }: Journey,
+    { exchange, progress, send }: ForwardingState,
     target: TargetState,
     verdict: SendVerdict,
   ): void {
--- a/packages/entry/src/request/request-progress.ts
+++ b/packages/entry/src/request/request-progress.ts
@@ -1,7 +1,7 @@
 import type { RequestKind, Route } from '@ferrylock/routing';
 import type { Refusal } from './refusal.js';
-import type { TargetAnswer } from './target-client.js';
-import type { EndCause, SendVerdict } from './target-send.js';
+import type { TargetResponse } from './target-client.js';
+import type { CancelCause, SendVerdict } from './target-send.js';
 
 /** Targets that a request was not sent to in the end, having no connection or wanting none, before it is refused. */
 const MOST_UNSENT = 3;
@@ -24,10 +24,10 @@
   /** Sends that may have run it. */
   runs = 0;
   /** Why it was ended from this side, if it was. */
-  endedBy: EndCause | undefined;
+  cancelledBy: CancelCause | undefined;
   #unsent = 0;
   #mayHaveRun = false;
-  #serverError: TargetAnswer | undefined;
+  #serverError: TargetResponse | undefined;
   #refusal: Refusal | undefined;
 
   constructor(readonly route: Pick<Route, 'kind' | 'mostAttempts'>) {}
@@ -37,7 +37,7 @@
   }
 
   /** Takes the outcome of a send on and says what is to follow. */
-  take(verdict: SendVerdict): NextStep {
+  recordVerdict(verdict: SendVerdict): NextStep {
     switch (verdict.kind) {
       case 'answered':
         return this.#takeAnswer(verdict.answer);
@@ -62,7 +62,7 @@
    *
    * @param retryAfterSeconds - when it may be let run once more; undefined where that has been tried
    */
-  turnAway(retryAfterSeconds?: number): void {
+  rejectSuspect(retryAfterSeconds?: number): void {
     if (!this.#mayHaveRun) {
       const detail = 'targets ended when they ran this request';
       const refusal = { reason: 'targets-end', detail, ran: 'no' } as const;
@@ -71,11 +71,11 @@
   }
 
   /** The answer to give where no further send follows: a target's own, or a refusal. */
-  get outcome(): TargetAnswer | Refusal {
+  get outcome(): TargetResponse | Refusal {
     if (this.#serverError !== undefined) {
       return this.#serverError;
     }
-    if (this.endedBy === 'deadline') {
+    if (this.cancelledBy === 'deadline') {
       return this.#mayHaveRun
         ? { reason: 'deadline', detail: 'no answer came in time', ran: 'unknown' }
         : { reason: 'deadline-not-run', detail: 'no target took it in time', ran: 'no' };
@@ -83,7 +83,7 @@
     return this.#refusal ?? { reason: 'overload', detail: 'no target has room', ran: 'no' };
   }
 
-  #takeAnswer(answer: TargetAnswer): NextStep {
+  #takeAnswer(answer: TargetResponse): NextStep {
     this.attempts++;
     this.runs++;
     if (!isServerError(answer.status) || this.#kind !== 'repeatable') {
@@ -107,7 +107,7 @@
   }
 
   #again(): NextStep {
-    if (this.endedBy !== undefined || this.attempts >= this.route.mostAttempts) {
+    if (this.cancelledBy !== undefined || this.attempts >= this.route.mostAttempts) {
       return 'give-up';
     }
     return this.attempts === 0 ? 'try-again' : 'try-again-if-allowed';
--- a/packages/entry/src/request/answer-writer.ts
+++ b/packages/entry/src/request/response-writer.ts
@@ -3,29 +3,29 @@
 import type { EventLog } from '../events.js';
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { CallerExchange, RoutedExchange } from './caller-exchange.js';
-import type { HeaderDialect } from './dialect.js';
-import { passOnHeaders } from './pass-on-headers.js';
+import type { HeaderCodec } from './header-codec.js';
+import { forwardableHeaders } from './forwardable-headers.js';
 import type { Refusal } from './refusal.js';
-import { mayComeBack, sendRefusal, statusOf } from './refusal.js';
+import { isRetryable, sendRefusal, statusOf } from './refusal.js';
 import type { RequestMetrics } from './request-metrics.js';
-import type { TargetAnswer } from './target-client.js';
+import type { TargetResponse } from './target-client.js';
 
 /** Mean wait that a refused caller is told where nothing tells a better one. */
 const RETRY_AFTER_SECONDS = 0.4;
 /** Mean wait after the moment from which a target takes work again, so that not all come at that moment. */
 const RETURN_SPREAD_SECONDS = 0.2;
 
-export interface AnswerWriterOptions {
+export interface ResponseWriterOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly events: EventLog;
   readonly view: FleetView;
-  readonly dialect: HeaderDialect;
+  readonly codec: HeaderCodec;
   readonly metrics: RequestMetrics;
 }
 
 /** How a request came to its answer. */
-export interface AnswerOrigin {
+export interface ResponseOrigin {
   /** Target whose answer it is. */
   readonly target: string;
   /** Requests that the target was taken to have. */
@@ -35,15 +35,15 @@
 }
 
 /** Gives callers their final answers, and writes why where the log is to tell. */
-export class AnswerWriter {
-  readonly #options: AnswerWriterOptions;
+export class ResponseWriter {
+  readonly #options: ResponseWriterOptions;
 
-  constructor(options: AnswerWriterOptions) {
+  constructor(options: ResponseWriterOptions) {
     this.#options = options;
   }
 
   /** Passes a target's whole answer on. */
-  deliver(exchange: RoutedExchange, answer: TargetAnswer, origin: AnswerOrigin): void {
+  deliver(exchange: RoutedExchange, answer: TargetResponse, origin: ResponseOrigin): void {
     const { clock, metrics, events } = this.#options;
     const { response, request, route, account, requestId, version } = exchange;
     const milliseconds = clock.now() - exchange.arrivedAt;
@@ -54,7 +54,7 @@
     if (response.destroyed) {
       return;
     }
-    const headers = passOnHeaders(answer.headers);
+    const headers = forwardableHeaders(answer.headers);
     if (!answer.isDelimited) {
       // It may have been cut: a length of our own would say that it is whole.
       response.useChunkedEncodingByDefault = false;
@@ -81,22 +81,23 @@
 
   /** Says that no target's answer will come, and whether the request may have run. */
   refuse(exchange: CallerExchange & Partial<RoutedExchange>, refusal: Refusal, attempts = 0): void {
-    const { clock, random, dialect, metrics, events, view } = this.#options;
-    const { requestId = exchange.demand.requestId, route, account, version } = exchange;
+    const { clock, random, codec: dialect, metrics, events, view } = this.#options;
+    const { requestId = exchange.metadata.requestId, route, account, version } = exchange;
     const milliseconds = clock.now() - exchange.arrivedAt;
     metrics.recordRefusal(route?.kind ?? 'none', `${refusal.reason}/${refusal.ran}`, milliseconds);
     if (account !== undefined) {
       const isOverLimit = refusal.reason === 'over-quota';
       metrics.accounts.record(account.name, isOverLimit ? 'overLimit' : 'failed');
     }
-    const { retryAfterSeconds: told = RETRY_AFTER_SECONDS, isEarliest = false } = refusal;
+    const { retryAfterSeconds: told = RETRY_AFTER_SECONDS, isLowerBound: isEarliest = false } =
+      refusal;
     const retryAfterSeconds = isEarliest
       ? told + jittered(random, RETURN_SPREAD_SECONDS)
       : jittered(random, told);
     sendRefusal(
       exchange,
-      mayComeBack(refusal) ? { ...refusal, retryAfterSeconds } : refusal,
-      dialect.ownAnswerHeaders(requestId),
+      isRetryable(refusal) ? { ...refusal, retryAfterSeconds } : refusal,
+      dialect.localReplyHeaders(requestId),
     );
     events.write({
       event: 'refused',
--- a/packages/entry/src/request/rest-header.ts
+++ b/packages/entry/src/request/retry-after.ts
@@ -1,4 +1,4 @@
-import { readDecimal } from './decimal-header.js';
+import { parseDecimalHeader } from './decimal-header.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -8,7 +8,7 @@
  *
  * @returns milliseconds; undefined where there is no header, NaN where none of its values can be read
  */
-export function readRest(header: string | string[] | undefined): number | undefined {
-  const seconds = readDecimal(header, Math.max);
+export function parseRetryAfter(header: string | string[] | undefined): number | undefined {
+  const seconds = parseDecimalHeader(header, Math.max);
   return seconds === undefined ? undefined : seconds * MILLISECONDS_PER_SECOND;
 }
