--- a/packages/entry/src/request/target-client.ts
+++ b/packages/entry/src/request/target-client.ts
@@ -25,15 +25,15 @@
   readonly headers: Record<string, string | string[]>;
   readonly body: Buffer | undefined;
   /** Whether it is to have a connection of its own. */
-  readonly isAlone: boolean;
+  readonly usesOwnConnection: boolean;
   /** Whether the target still wants it; asked when it has a connection. */
-  readonly isWanted: () => boolean;
+  readonly isStillAllowed: () => boolean;
   /** Looks at the head of the answer; an error says that it is not the answer to this request. */
-  readonly examine: (status: number, headers: IncomingHttpHeaders) => Error | undefined;
+  readonly checkHead: (status: number, headers: IncomingHttpHeaders) => Error | undefined;
 }
 
 /** A target's whole answer. */
-export interface TargetAnswer {
+export interface TargetResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
@@ -46,7 +46,7 @@
 
 /** What became of one send. */
 export type SendOutcome =
-  | { readonly kind: 'answered'; readonly answer: TargetAnswer }
+  | { readonly kind: 'answered'; readonly answer: TargetResponse }
   /** No byte of the request has left. */
   | { readonly kind: 'not-sent'; readonly error: Error }
   /** Bytes have left and no whole answer came. */
@@ -56,10 +56,10 @@
 export class SendCancelled extends Error {}
 
 /** A send that its target no longer wanted when it had a connection. */
-export class SendUnwanted extends Error {}
+export class SendNotAllowed extends Error {}
 
 /** A send under way. */
-export interface Send {
+export interface SendHandle {
   readonly outcome: Promise<SendOutcome>;
   /** When its first byte left; undefined before. */
   readonly startedAt: number | undefined;
@@ -101,7 +101,7 @@
     this.#options = options;
   }
 
-  send(request: TargetRequest): Send {
+  send(request: TargetRequest): SendHandle {
     let abort: ((error: Error) => void) | undefined;
     let isCancelled = false;
     let startedAt: number | undefined;
@@ -111,7 +111,7 @@
       const chunks: Buffer[] = [];
       let status = 0;
       let headers: IncomingHttpHeaders = {};
-      const { address, method, path, body, isAlone } = request;
+      const { address, method, path, body, usesOwnConnection: isAlone } = request;
       (isAlone ? this.#loneAgent : this.#agent).dispatch(
         {
           origin: `http://${address}`,
@@ -128,9 +128,11 @@
               controller.abort(new SendCancelled('ended before it was sent'));
               return;
             }
-            if (!request.isWanted()) {
+            if (!request.isStillAllowed()) {
               // It waited for its connection, for up to 0.3 s, while the target spoke.
-              controller.abort(new SendUnwanted('the target asked for rest or for less meanwhile'));
+              controller.abort(
+                new SendNotAllowed('the target asked for rest or for less meanwhile'),
+              );
               return;
             }
             startedAt = this.#options.clock.now();
@@ -144,7 +146,7 @@
             }
             status = statusCode;
             headers = answerHeaders;
-            const fault = request.examine(status, headers);
+            const fault = request.checkHead(status, headers);
             if (fault !== undefined) {
               controller.abort(fault);
             }
--- a/packages/entry/src/request/target-send.ts
+++ b/packages/entry/src/request/target-send.ts
@@ -1,20 +1,20 @@
 import type { ServiceTargets, TargetLimits, TargetState } from '@ferrylock/routing';
 import type { Clock } from '@ferrylock/utils';
 import type { EventLog } from '../events.js';
-import type { SuspectDuty } from '../suspects/suspect-duty.js';
-import type { TargetEnds } from '../suspects/target-ends.js';
+import type { SuspectController } from '../suspects/suspect-controller.js';
+import type { TargetCrashDetector } from '../suspects/target-crash-detector.js';
 import type { RoutedExchange } from './caller-exchange.js';
-import { keyOf } from './caller-exchange.js';
-import type { AnswerFacts, HeaderDialect } from './dialect.js';
-import { passOnHeaders } from './pass-on-headers.js';
-import type { Send, TargetAnswer, TargetClient } from './target-client.js';
-import { SendUnwanted } from './target-client.js';
-import type { TargetWords } from './target-words.js';
+import { affinityKeyOf } from './caller-exchange.js';
+import type { ResponseMetadata, HeaderCodec } from './header-codec.js';
+import { forwardableHeaders } from './forwardable-headers.js';
+import type { SendHandle, TargetResponse, TargetClient } from './target-client.js';
+import { SendNotAllowed } from './target-client.js';
+import type { TargetSignalRecorder } from './target-signal-recorder.js';
 
 /** What one send to one target came to. */
 export type SendVerdict =
   /** The target's own answer, whole; it is to be passed on. */
-  | { readonly kind: 'answered'; readonly answer: TargetAnswer; readonly facts: AnswerFacts }
+  | { readonly kind: 'answered'; readonly answer: TargetResponse; readonly facts: ResponseMetadata }
   /** Certainly not run: nothing was sent, or the target said so. */
   | {
       readonly kind: 'not-run';
@@ -24,10 +24,10 @@
   /** Bytes left and no usable answer came. */
   | { readonly kind: 'unknown'; readonly reason: 'target-failed'; readonly detail: string }
   /** Ended from this side, because of the time or the caller. */
-  | { readonly kind: 'ended'; readonly cause: EndCause; readonly wasSent: boolean };
+  | { readonly kind: 'ended'; readonly cause: CancelCause; readonly wasSent: boolean };
 
 /** Why a send is ended from this side. */
-export type EndCause = 'deadline' | 'caller-gone';
+export type CancelCause = 'deadline' | 'caller-gone';
 
 /** What a target that refuses takes for it, beside the way there and back. */
 const REFUSAL_MILLISECONDS = 40;
@@ -50,14 +50,14 @@
   readonly events: EventLog;
   readonly client: TargetClient;
   /** Told of answers that were lost. */
-  readonly ends: TargetEnds;
+  readonly crashDetector: TargetCrashDetector;
   /** Told of answers to requests under which targets ended. */
-  readonly suspects: SuspectDuty;
+  readonly suspects: SuspectController;
   /** Told what targets say of themselves. */
-  readonly words: TargetWords;
+  readonly signalRecorder: TargetSignalRecorder;
   /** Let it be sent, where the target named a limit by then. */
-  readonly limits: Pick<TargetLimits, 'take' | 'giveBack'>;
-  readonly dialect: HeaderDialect;
+  readonly limits: Pick<TargetLimits, 'tryAcquire' | 'release'>;
+  readonly codec: HeaderCodec;
   readonly service: ServiceTargets;
   readonly target: TargetState;
   readonly exchange: RoutedExchange;
@@ -68,21 +68,21 @@
   readonly verdict: Promise<SendVerdict>;
   readonly sentAt: number;
   readonly #options: TargetSendOptions;
-  readonly #send: Send;
+  readonly #send: SendHandle;
   /** The target's load before this request, for each of its slots. */
   readonly #loadPerSlot: number;
   /** Whether it was let be sent under the target's limit. */
   #isInLimit: boolean;
-  #endedBy: EndCause | undefined;
-  #facts: AnswerFacts | undefined;
+  #endedBy: CancelCause | undefined;
+  #facts: ResponseMetadata | undefined;
   #cancelHearingOut: (() => void) | undefined;
 
   constructor(options: TargetSendOptions) {
     this.#options = options;
     this.sentAt = options.clock.now();
-    const { target, words } = options;
+    const { target, signalRecorder: words } = options;
     words.recordSend(target);
-    this.#isInLimit = target.word.limit.perSecond !== undefined;
+    this.#isInLimit = target.signals.limit.perSecond !== undefined;
     this.#loadPerSlot = target.load(this.sentAt) / target.record.slots;
     target.inFlight++;
     this.#send = options.client.send({
@@ -91,15 +91,15 @@
       path: options.exchange.path,
       headers: this.#headers(),
       body: options.exchange.body,
-      isAlone: options.service.isDistrusted,
-      isWanted: () => this.#isWanted(),
-      examine: (status, headers) => this.#examine(status, headers),
+      usesOwnConnection: options.service.isConnectionReuseDisabled,
+      isStillAllowed: () => this.#isWanted(),
+      checkHead: (status, headers) => this.#examine(status, headers),
     });
     this.verdict = this.#judge();
   }
 
   /** Ends it from this side. */
-  end(cause: EndCause): void {
+  cancel(cause: CancelCause): void {
     this.#endedBy ??= cause;
     const wait = cause === 'caller-gone' ? this.#hearingOutMilliseconds() : 0;
     if (wait <= 0) {
@@ -121,7 +121,7 @@
     if (startedAt === undefined) {
       return 0;
     }
-    const way = service.roundTrips.of(target.record.failureDomain) + REFUSAL_MILLISECONDS;
+    const way = service.roundTripTimes.of(target.record.failureDomain) + REFUSAL_MILLISECONDS;
     return startedAt + Math.min(MOST_HEARING_OUT_MILLISECONDS, way) - clock.now();
   }
 
@@ -134,25 +134,25 @@
     if (target.isResting(clock.now())) {
       return false;
     }
-    this.#isInLimit ||= target.word.limit.perSecond !== undefined && limits.take(target);
-    return this.#isInLimit || target.word.limit.perSecond === undefined;
+    this.#isInLimit ||= target.signals.limit.perSecond !== undefined && limits.tryAcquire(target);
+    return this.#isInLimit || target.signals.limit.perSecond === undefined;
   }
 
   #headers(): Record<string, string | string[]> {
-    const { dialect, exchange, target } = this.#options;
+    const { codec: dialect, exchange, target } = this.#options;
     return Object.assign(
-      passOnHeaders(exchange.request.headers, dialect.callerHeaders),
-      dialect.instruct({
-        deadlineMilliseconds: Math.max(1, Math.floor(exchange.endAt - this.sentAt)),
+      forwardableHeaders(exchange.request.headers, dialect.consumedHeaders),
+      dialect.encodeForward({
+        deadlineMilliseconds: Math.max(1, Math.floor(exchange.deadlineAt - this.sentAt)),
         targetId: target.id,
         accountName: exchange.account?.name,
       }),
     );
   }
 
-  #examine(status: number, headers: TargetAnswer['headers']): Error | undefined {
-    const { dialect, exchange, words, service, target } = this.#options;
-    const facts = dialect.readAnswer(status, headers);
+  #examine(status: number, headers: TargetResponse['headers']): Error | undefined {
+    const { codec: dialect, exchange, signalRecorder: words, service, target } = this.#options;
+    const facts = dialect.decodeResponse(status, headers);
     this.#facts = facts;
     if (facts.isOtherTarget) {
       return undefined;
@@ -160,7 +160,7 @@
     if (!facts.isNotRun && facts.requestId !== exchange.requestId) {
       return new StrayAnswer(`the answer is to request ${facts.requestId ?? 'without id'}`);
     }
-    words.take(service, target, facts, this.sentAt);
+    words.recordResponse(service, target, facts, this.sentAt);
     return !facts.isNotRun && isSuccess(status) && !facts.isSigned
       ? new UnsignedAnswer('a success without the target’s mark')
       : undefined;
@@ -184,7 +184,7 @@
       target.recordCold(facts.coldMilliseconds, now);
     }
     if (facts.isOtherTarget) {
-      target.recordOtherTarget();
+      target.recordReplaced();
       return { kind: 'not-run', reason: 'target-refused', detail: 'another target answers there' };
     }
     if (facts.isNotRun) {
@@ -192,9 +192,9 @@
       return { kind: 'not-run', reason: 'target-refused', detail: `status ${answer.status}` };
     }
     this.#recordRun(answer);
-    service.recordAnswer(target, {
+    service.recordResponse(target, {
       route: exchange.route,
-      key: keyOf(exchange),
+      key: affinityKeyOf(exchange),
       milliseconds: now - this.sentAt,
       loadPerSlot: this.#loadPerSlot,
     });
@@ -202,34 +202,34 @@
   }
 
   /** Read when the answer began. */
-  #factsOf({ status, headers }: TargetAnswer): AnswerFacts {
-    return this.#facts ?? this.#options.dialect.readAnswer(status, headers);
+  #factsOf({ status, headers }: TargetResponse): ResponseMetadata {
+    return this.#facts ?? this.#options.codec.decodeResponse(status, headers);
   }
 
   /** The target has run the request and lives. An answer that ends with its connection may be its last. */
-  #recordRun({ isDelimited }: TargetAnswer): void {
-    const { exchange, target, ends, suspects } = this.#options;
-    if (ends.takeBack(target, this.sentAt)) {
-      suspects.recordLife(target.start);
+  #recordRun({ isDelimited }: TargetResponse): void {
+    const { exchange, target, crashDetector: ends, suspects } = this.#options;
+    if (ends.retractCrash(target, this.sentAt)) {
+      suspects.recordAlive(target.incarnationId);
     }
-    const fingerprint = isDelimited ? suspects.find(exchange) : undefined;
+    const fingerprint = isDelimited ? suspects.findFingerprint(exchange) : undefined;
     if (fingerprint !== undefined) {
       suspects.recordAnswer(fingerprint);
     }
   }
 
   #judgeFailure(isUnsent: boolean, error: NodeJS.ErrnoException): SendVerdict {
-    const { clock, target, service, exchange, ends, limits } = this.#options;
+    const { clock, target, service, exchange, crashDetector: ends, limits } = this.#options;
     if (isUnsent && this.#isInLimit) {
-      limits.giveBack(target);
+      limits.release(target);
     }
     if (this.#endedBy !== undefined) {
-      if (this.#endedBy === 'deadline' && target.answeredAt < this.sentAt) {
+      if (this.#endedBy === 'deadline' && target.lastResponseAt < this.sentAt) {
         this.#eject('no answer in time, and none since it was sent');
       }
       return { kind: 'ended', cause: this.#endedBy, wasSent: !isUnsent };
     }
-    if (error instanceof SendUnwanted) {
+    if (error instanceof SendNotAllowed) {
       const reason = target.isResting(clock.now()) ? 'targets-rest' : 'targets-limited';
       return { kind: 'not-run', reason, detail: error.message };
     }
@@ -238,7 +238,7 @@
       return { kind: 'not-run', reason: 'connect-failed', detail: error.message };
     }
     if (CONNECTION_LOSSES.has(error.code)) {
-      ends.recordLoss(service, target, exchange);
+      ends.recordConnectionLoss(service, target, exchange);
     }
     if (error instanceof StrayAnswer) {
       this.#distrust(error.message);
@@ -257,7 +257,7 @@
 
   /** Gives requests to the service's targets a connection each for a while. */
   #distrust(reason: string): void {
-    if (this.#options.service.distrust()) {
+    if (this.#options.service.disableConnectionReuse()) {
       this.#log('distrusted', `a connection for each request of the service: ${reason}`);
     }
   }
--- a/packages/entry/src/request/target-words.ts
+++ b/packages/entry/src/request/target-signal-recorder.ts
@@ -1,8 +1,8 @@
 import type { ServiceTargets, TargetState } from '@ferrylock/routing';
-import { FirstMentions } from '@ferrylock/utils';
+import { FirstOccurrences } from '@ferrylock/utils';
 import type { Clock } from '@ferrylock/utils';
 import type { EventLog } from '../events.js';
-import type { AnswerFacts } from './dialect.js';
+import type { ResponseMetadata } from './header-codec.js';
 
 /** The service whose target speaks. */
 type NamedService = Pick<ServiceTargets, 'name'>;
@@ -14,20 +14,20 @@
 const SHORTEST_LOGGED_MILLISECONDS = 500;
 
 /** What targets say of themselves in their answers. */
-export type SaidOfItself = Pick<
-  AnswerFacts,
+export type ReportedSignals = Pick<
+  ResponseMetadata,
   'isLeaving' | 'restMilliseconds' | 'limitPerSecond' | 'unknownHeaders'
 >;
 
-export interface TargetWordsOptions {
+export interface TargetSignalRecorderOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   /** A target named a limit, another one than before, or none any more. */
-  readonly onLimit: (target: TargetState) => void;
+  readonly onLimitChange: (target: TargetState) => void;
 }
 
 /** Takes what targets say of themselves in their answers, and writes it down. */
-export class TargetWords {
+export class TargetSignalRecorder {
   /** Rests that targets asked this host for; one that is asked for again before its end counts once. */
   rests = 0;
   /** Targets that said in an answer that they leave. */
@@ -38,15 +38,15 @@
   limits = 0;
   /** Requests that were sent to targets while these named a limit. */
   limitedSends = 0;
-  readonly #unknownHeaders = new FirstMentions();
-  readonly #options: TargetWordsOptions;
+  readonly #unknownHeaders = new FirstOccurrences();
+  readonly #options: TargetSignalRecorderOptions;
 
-  constructor(options: TargetWordsOptions) {
+  constructor(options: TargetSignalRecorderOptions) {
     this.#options = options;
   }
 
   /** A request leaves for a target. */
-  recordSend({ word }: TargetState): void {
+  recordSend({ signals: word }: TargetState): void {
     if (word.isLeaving || word.isResting(this.#options.clock.now())) {
       this.unwantedSends++;
     }
@@ -60,8 +60,13 @@
    *
    * @param sentAt - when the request was sent, in monotonic milliseconds
    */
-  take(service: NamedService, target: TargetState, said: SaidOfItself, sentAt: number): void {
-    if (said.isLeaving && target.word.recordLeaving()) {
+  recordResponse(
+    service: NamedService,
+    target: TargetState,
+    said: ReportedSignals,
+    sentAt: number,
+  ): void {
+    if (said.isLeaving && target.signals.recordLeaving()) {
       this.leaving++;
       this.#log(service, target, 'leaving', 'said in an answer');
     }
@@ -84,7 +89,7 @@
       this.#logUnreadable(service, target, 'limit: expected requests a second, not negative');
       return;
     }
-    const { limit } = target.word;
+    const { limit } = target.signals;
     if (!limit.record(perSecond, { sentAt, now: this.#options.clock.now() })) {
       return;
     }
@@ -94,12 +99,12 @@
       this.limits++;
       this.#log(service, target, 'limited', `takes ${limit.perSecond} requests a second`);
     }
-    this.#options.onLimit(target);
+    this.#options.onLimitChange(target);
   }
 
   /** Each header once, and nothing of its value. */
   #takeUnknown(service: NamedService, target: TargetState, header: string): void {
-    const name = this.#unknownHeaders.take(header);
+    const name = this.#unknownHeaders.add(header);
     if (name === undefined) {
       return;
     }
@@ -118,7 +123,7 @@
       this.#logUnreadable(service, target, 'rest: expected seconds, not negative');
       return;
     }
-    if (!target.word.recordRest(milliseconds, clock.now())) {
+    if (!target.signals.recordRest(milliseconds, clock.now())) {
       return;
     }
     this.rests++;
@@ -134,7 +139,7 @@
 
   #log(
     service: NamedService,
-    { id, start }: TargetState,
+    { id, incarnationId: start }: TargetState,
     state: 'leaving' | 'resting' | 'limited' | 'unlimited',
     detail: string,
   ): void {
--- a/packages/entry/src/routing/limited-targets.ts
+++ b/packages/entry/src/routing/limited-targets.ts
@@ -1,7 +1,7 @@
-import type { LimitFigures, ServiceTargets, TargetLimits } from '@ferrylock/routing';
+import type { LimitUsage, ServiceTargets, TargetLimits } from '@ferrylock/routing';
 
 /** A target that names a limit in its answers. */
-export interface LimitedTarget extends LimitFigures {
+export interface LimitedTarget extends LimitUsage {
   readonly service: string;
   readonly target: string;
   /** Requests a second that it takes from all hosts together. */
@@ -11,12 +11,12 @@
 /** Targets that name a limit, as far as this host knows, and how much of it is this host's. */
 export function limitedTargets(
   services: readonly ServiceTargets[],
-  limits: Pick<TargetLimits, 'figuresOf'>,
+  limits: Pick<TargetLimits, 'usageOf'>,
 ): LimitedTarget[] {
   return services.flatMap(({ name, targets }) =>
     [...targets.values()].flatMap((target) => {
-      const { perSecond } = target.word.limit;
-      const figures = limits.figuresOf(target);
+      const { perSecond } = target.signals.limit;
+      const figures = limits.usageOf(target);
       return perSecond === undefined || figures === undefined
         ? []
         : [{ service: name, target: target.id, perSecond, ...figures }];
--- a/packages/entry/src/routing/placement-duty.ts
+++ b/packages/entry/src/routing/placement-controller.ts
@@ -2,7 +2,7 @@
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { RequestRates } from '../peers/host-status.js';
 import type { PeerTable } from '../peers/peer-table.js';
-import { RegionDemand, sumDemand } from './region-demand.js';
+import { RegionDemand, demandByRegion } from './region-demand.js';
 import type { RoutingState } from './routing-state.js';
 
 /** Time between two looks at where keys are to be served; the parts move slowly anyway. */
@@ -10,7 +10,7 @@
 /** The same at a host whose callers ask for nothing: it has nothing to place, and is to keep up. */
 const QUIET_PERIOD_MILLISECONDS = 2_000;
 
-export interface PlacementDutyOptions {
+export interface PlacementControllerOptions {
   readonly clock: Clock;
   readonly view: FleetView;
   readonly peers: PeerTable;
@@ -20,18 +20,18 @@
 }
 
 /** Sees to it that keys are placed by what the callers of each region ask for. */
-export class PlacementDuty {
-  readonly #options: PlacementDutyOptions;
+export class PlacementController {
+  readonly #options: PlacementControllerOptions;
   #placedAt = -Infinity;
 
-  constructor(options: PlacementDutyOptions) {
+  constructor(options: PlacementControllerOptions) {
     this.#options = options;
   }
 
   /** What this host's callers ask for. */
-  get asked(): RequestRates {
+  get ownDemand(): RequestRates {
     const services = [...this.#options.state.services];
-    const rates = services.map(({ name, asked }) => [name, asked.perSecond] as const);
+    const rates = services.map(({ name, requestRate: asked }) => [name, asked.perSecond] as const);
     return Object.fromEntries(rates.filter(([, rate]) => rate > 0));
   }
 
@@ -39,7 +39,7 @@
   sweep(): void {
     const { clock, state } = this.#options;
     const now = clock.now();
-    const { asked } = this;
+    const { ownDemand: asked } = this;
     const isQuiet = Object.keys(asked).length === 0;
     if (now - this.#placedAt < (isQuiet ? QUIET_PERIOD_MILLISECONDS : PERIOD_MILLISECONDS)) {
       return;
@@ -52,7 +52,7 @@
   /** What callers of each region ask for: as relays tell it, or summed up from what hosts tell. */
   #demand(asked: RequestRates): RegionDemand {
     const { view, peers, ownName, ownRegion } = this.#options;
-    const { toldDemand } = peers;
+    const { regionDemand: toldDemand } = peers;
     if (toldDemand !== undefined) {
       const told = new RegionDemand();
       for (const [region, rates] of toldDemand) {
@@ -62,6 +62,6 @@
     }
     const regionOf = new Map(view.records('entryHost').map(({ host }) => [host.name, host.region]));
     regionOf.set(ownName, ownRegion);
-    return sumDemand([{ name: ownName, asked }, ...peers.alive], regionOf);
+    return demandByRegion([{ name: ownName, asked }, ...peers.alive], regionOf);
   }
 }
--- a/packages/entry/src/routing/region-demand.ts
+++ b/packages/entry/src/routing/region-demand.ts
@@ -21,7 +21,7 @@
 }
 
 /** Adds up what hosts say of themselves, by the region that each is registered in. */
-export function sumDemand(
+export function demandByRegion(
   statuses: Iterable<Pick<HostStatus, 'name' | 'asked'>>,
   regionOf: ReadonlyMap<string, string>,
 ): RegionDemand {
--- a/packages/entry/src/routing/resting-targets.ts
+++ b/packages/entry/src/routing/resting-targets.ts
@@ -12,8 +12,8 @@
 export function restingTargets(services: readonly ServiceTargets[], now: number): RestingTarget[] {
   return services.flatMap(({ name, targets }) =>
     [...targets.values()]
-      .filter(({ word }) => word.isResting(now))
-      .map(({ id, word }) => ({
+      .filter(({ signals: word }) => word.isResting(now))
+      .map(({ id, signals: word }) => ({
         service: name,
         target: id,
         milliseconds: word.restsUntil - now,
--- a/packages/entry/src/routing/routing-state.ts
+++ b/packages/entry/src/routing/routing-state.ts
@@ -2,19 +2,19 @@
   AdmissionFailure,
   AdmittedRoute,
   CallerLimits,
-  LeftOut,
-  RetryBound,
+  DisabledMechanisms,
+  RetryBudgetSettings,
   Route,
   RouteConfiguration,
-  ShiftBound,
+  RegionShiftLimit,
   TargetLimits,
   TargetRecord,
   TargetState,
 } from '@ferrylock/routing';
 import {
   AccountTable,
-  idOfStart,
-  OverflowAllowance,
+  targetIdOf,
+  OverflowBudget,
   RouteTable,
   ServiceTargets,
 } from '@ferrylock/routing';
@@ -35,12 +35,12 @@
   /** Region of each failure domain. */
   readonly regions: Readonly<Record<string, string>>;
   readonly drainMilliseconds: number;
-  readonly retryBound: RetryBound;
-  readonly shiftBound: ShiftBound;
-  readonly limits: Pick<TargetLimits, 'take' | 'waitMilliseconds'>;
-  readonly leftOut: LeftOut;
+  readonly retryBudget: RetryBudgetSettings;
+  readonly regionShiftLimit: RegionShiftLimit;
+  readonly limits: Pick<TargetLimits, 'tryAcquire' | 'waitMilliseconds'>;
+  readonly disabledMechanisms: DisabledMechanisms;
   /** When the store last began to answer after a fault; infinite while it does not answer. */
-  readonly storeReturnedAt: () => number;
+  readonly storeAvailableSince: () => number;
 }
 
 /** A configuration with what is looked up in it. */
@@ -58,7 +58,7 @@
 }
 
 /** Whose address it is, as last recorded. */
-interface TargetPlace {
+interface TargetLocation {
   readonly service: ServiceTargets;
   readonly failureDomain: string;
 }
@@ -69,17 +69,17 @@
   readonly #services = new Map<string, ServiceTargets>();
   readonly #serviceOfTarget = new Map<string, ServiceTargets>();
   readonly #targetOfKey = new Map<string, string>();
-  readonly #placeOfAddress = new Map<string, TargetPlace>();
+  readonly #placeOfAddress = new Map<string, TargetLocation>();
   readonly #evacuated = new Map<string, string>();
   readonly #vanished: VanishedTargets;
-  readonly #overflows: OverflowAllowance;
+  readonly #overflows: OverflowBudget;
   readonly #listeners: ((configuration: RouteConfiguration) => void)[] = [];
   #active: ActiveConfiguration | undefined;
 
   constructor(options: RoutingStateOptions) {
     this.#options = options;
     this.#vanished = new VanishedTargets(options);
-    this.#overflows = new OverflowAllowance({ ...options, bound: options.shiftBound });
+    this.#overflows = new OverflowBudget({ ...options, bound: options.regionShiftLimit });
     options.view.onChanges((changes) => {
       this.#takeChanges(changes);
     });
@@ -119,15 +119,15 @@
 
   /** A start of a target, unless another start of it is known by now. */
   targetOfStart(name: string): TargetState | undefined {
-    const id = idOfStart(name);
+    const id = targetIdOf(name);
     const target = this.#serviceOfTarget.get(id)?.targets.get(id);
-    return target?.start === name ? target : undefined;
+    return target?.incarnationId === name ? target : undefined;
   }
 
   /** A connection to a target came up in so many milliseconds. */
-  recordConnected(address: string, milliseconds: number): void {
-    const place = this.#placeOfAddress.get(address);
-    place?.service.roundTrips.record(place.failureDomain, milliseconds);
+  recordConnectTime(address: string, milliseconds: number): void {
+    const updatePlacement = this.#placeOfAddress.get(address);
+    updatePlacement?.service.roundTripTimes.record(updatePlacement.failureDomain, milliseconds);
   }
 
   /**
@@ -139,7 +139,7 @@
     const { ownRegion, view } = this.#options;
     let asked = 0;
     for (const service of this.#services.values()) {
-      service.place((region) => requestsPerSecond(service.name, region));
+      service.updatePlacement((region) => requestsPerSecond(service.name, region));
       asked += requestsPerSecond(service.name, ownRegion) ?? 0;
     }
     const near = view.records('entryHost').filter(({ host }) => host.region === ownRegion);
@@ -158,7 +158,7 @@
 
   /** To be called a few times a second: drops targets that vanished and did not come back. */
   sweep(): void {
-    for (const id of this.#vanished.takeGone(this.#options.storeReturnedAt())) {
+    for (const id of this.#vanished.removeExpired(this.#options.storeAvailableSince())) {
       this.#removeTarget(id, 'vanished');
     }
   }
@@ -178,7 +178,7 @@
       }
     }
     for (const [service, ids] of vanishedOf) {
-      this.#vanished.add(ids, service.targets.size, this.#options.storeReturnedAt());
+      this.#vanished.add(ids, service.targets.size, this.#options.storeAvailableSince());
     }
   }
 
@@ -190,7 +190,7 @@
     const leastUrgentRoute = routes.reduce((least, { priority }) => Math.max(least, priority), 0);
     const accounts =
       configuration.accounts && new AccountTable(configuration.accounts, leastUrgentRoute);
-    const leastUrgent = accounts?.leastUrgent ?? leastUrgentRoute;
+    const leastUrgent = accounts?.lowestPriority ?? leastUrgentRoute;
     this.#active = {
       version,
       routes: new RouteTable(routes),
@@ -215,7 +215,7 @@
   #putTarget(key: string, record: TargetRecord): void {
     const service = this.#serviceNamed(record.service);
     const former = this.#serviceOfTarget.get(record.id);
-    if (former?.isOldNews(record) === true) {
+    if (former?.isStale(record) === true) {
       return;
     }
     if (former !== undefined && former !== service) {
@@ -296,7 +296,7 @@
     state: 'added' | 'reborn' | 'draining' | 'vanished' | 'returned' | 'removed',
     detail?: string,
   ): void {
-    const start = service.targets.get(target)?.start;
+    const start = service.targets.get(target)?.incarnationId;
     const event = {
       event: 'target',
       target,
--- a/packages/entry/src/routing/vanished-targets.ts
+++ b/packages/entry/src/routing/vanished-targets.ts
@@ -73,7 +73,7 @@
    *
    * @param storeReturnedAt - as in {@link add}
    */
-  takeGone(storeReturnedAt: number): string[] {
+  removeExpired(storeReturnedAt: number): string[] {
     const now = this.#options.clock.now();
     const gone: string[] = [];
     for (const [id, { at, heldUntil }] of this.#vanished) {
--- a/packages/entry/src/servers/control-server.ts
+++ b/packages/entry/src/servers/control-server.ts
@@ -5,13 +5,13 @@
 import { PEER_PATH } from '../peers/peer-client.js';
 import { DELTA_METHOD, deltaParamsSchema } from '../peers/peer-messages.js';
 import type { ViewExchange } from '../peers/view-exchange.js';
-import { WITHOUT_SCHEMAS } from './without-schemas.js';
+import { SCHEMALESS_SERVER_OPTIONS } from './schemaless-server-options.js';
 
 /** JSON-RPC 2.0: invalid method parameters. */
 const INVALID_PARAMS = -32_602;
 
 export interface ControlServerOptions {
-  readonly changes: ViewExchange;
+  readonly viewExchange: ViewExchange;
   /** Figures of this host as Prometheus text. */
   readonly metricsText: () => string;
 }
@@ -21,8 +21,8 @@
   readonly #app: FastifyInstance;
   readonly #peerServer = new JSONRPCServer({ errorListener: () => undefined });
 
-  constructor({ changes, metricsText }: ControlServerOptions) {
-    this.#app = Fastify(WITHOUT_SCHEMAS);
+  constructor({ viewExchange: changes, metricsText }: ControlServerOptions) {
+    this.#app = Fastify(SCHEMALESS_SERVER_OPTIONS);
     this.#peerServer.addMethod(DELTA_METHOD, (params: unknown) => {
       const parsed = deltaParamsSchema.safeParse(params);
       if (!parsed.success) {
--- a/packages/entry/src/servers/without-schemas.ts
+++ b/packages/entry/src/servers/schemaless-server-options.ts
@@ -9,7 +9,7 @@
  * Options of servers whose bodies are not described to the framework: the compilers of descriptions
  * that it would load otherwise are half of the program's code and are never used.
  */
-export const WITHOUT_SCHEMAS = {
+export const SCHEMALESS_SERVER_OPTIONS = {
   logger: false,
   schemaController: {
     compilersFactory: { buildValidator: compileNothing, buildSerializer: compileNothing },
--- a/packages/entry/src/servers/front-server.ts
+++ b/packages/entry/src/servers/traffic-server.ts
@@ -4,7 +4,7 @@
 import Fastify from 'fastify';
 import type { FastifyInstance } from 'fastify';
 import { splitAddress } from '../address.js';
-import { WITHOUT_SCHEMAS } from './without-schemas.js';
+import { SCHEMALESS_SERVER_OPTIONS } from './schemaless-server-options.js';
 
 /** Longest headers that are read at all, whatever a later configuration allows. */
 const LONGEST_HEADERS_BYTES = 64 * 1024;
@@ -12,7 +12,7 @@
 const FIRST_HEADER_TIMEOUT_MILLISECONDS = 10_000;
 const FIRST_IDLE_MILLISECONDS = 15_000;
 
-export interface FrontServerOptions {
+export interface TrafficServerOptions {
   readonly handle: (
     request: IncomingMessage,
     response: ServerResponse,
@@ -22,16 +22,16 @@
 }
 
 /** Takes callers' connections. It hands each request on as it came and reads nothing of its body. */
-export class FrontServer {
+export class TrafficServer {
   readonly #app: FastifyInstance;
   #mostHeaderBytes = LONGEST_HEADERS_BYTES;
   /** Answers that are still to be given. */
   readonly #underWay = new Set<ServerResponse>();
   #isLeaving = false;
 
-  constructor(options: FrontServerOptions) {
+  constructor(options: TrafficServerOptions) {
     this.#app = Fastify({
-      ...WITHOUT_SCHEMAS,
+      ...SCHEMALESS_SERVER_OPTIONS,
       requestTimeout: 0,
       keepAliveTimeout: FIRST_IDLE_MILLISECONDS,
       forceCloseConnections: false,
@@ -77,7 +77,7 @@
   }
 
   /** From now on each answer closes its connection, so that callers come back elsewhere. */
-  beginLeaving(): void {
+  beginDraining(): void {
     this.#isLeaving = true;
     for (const response of this.#underWay) {
       closeAfter(response);
@@ -85,7 +85,7 @@
   }
 
   /** Takes no further connections and closes those that carry no request. */
-  closeIdle(): void {
+  closeIdleConnections(): void {
     this.#app.server.close();
     this.#app.server.closeIdleConnections();
   }
--- a/packages/entry/src/suspects/request-fingerprint.ts
+++ b/packages/entry/src/suspects/request-fingerprint.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { FINGERPRINT_HEAD_CHARACTERS } from '@ferrylock/routing';
+import { FINGERPRINT_PREFIX_LENGTH } from '@ferrylock/routing';
 import { stableHash } from '@ferrylock/utils';
 
 /** Of six bits each: nobody finds a request of its own that stands for somebody else's. */
@@ -20,7 +20,7 @@
  * The beginning of a fingerprint. It needs no body and a sixth of a microsecond, so that requests which nobody
  * looks for are told apart by it.
  */
-export function fingerprintHead(request: FingerprintedRequest): string {
+export function fingerprintPrefix(request: FingerprintedRequest): string {
   return headOf(describe(request));
 }
 
@@ -44,5 +44,5 @@
 }
 
 function headOf(text: string): string {
-  return stableHash(text).toString(HEAD_RADIX).padStart(FINGERPRINT_HEAD_CHARACTERS, '0');
+  return stableHash(text).toString(HEAD_RADIX).padStart(FINGERPRINT_PREFIX_LENGTH, '0');
 }
--- a/packages/entry/src/suspects/suspect-duty.ts
+++ b/packages/entry/src/suspects/suspect-controller.ts
@@ -1,13 +1,13 @@
-import { ANSWERS_TO_TAKE_BACK, SuspectTable } from '@ferrylock/routing';
-import type { ToldSuspect } from '@ferrylock/routing';
+import { RESPONSES_TO_CLEAR, SuspectTable } from '@ferrylock/routing';
+import type { SuspectReport } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import type { FleetStore } from '../fleet/fleet-store.js';
 import type { FleetView } from '../fleet/fleet-view.js';
 import type { EventLog } from '../events.js';
 import type { FingerprintedRequest } from './request-fingerprint.js';
-import { fingerprintHead, requestFingerprint } from './request-fingerprint.js';
-import { SuspectRecords, TRIAL_AFTER_MILLISECONDS } from './suspect-records.js';
-import type { TargetEnd } from './target-ends.js';
+import { fingerprintPrefix, requestFingerprint } from './request-fingerprint.js';
+import { SuspectRecordStore, TRIAL_AFTER_MILLISECONDS } from './suspect-record-store.js';
+import type { TargetCrash } from './target-crash-detector.js';
 
 /**
  * Shortest time between two messages that are sent out of turn. Until other hosts know, each may send a request
@@ -19,7 +19,7 @@
 /** Longest that a request waits for the store's word whether it may be the one that is tried. */
 const CLAIM_MILLISECONDS = 300;
 
-export interface SuspectDutyOptions {
+export interface SuspectControllerOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: FleetStore;
@@ -27,23 +27,23 @@
   /** How many entry hosts there are. */
   readonly hosts: () => number;
   /** Place of this host among all in the order in which they write about a request; 0 for the first. */
-  readonly turnOf: (fingerprint: string) => number;
+  readonly writeOrderOf: (fingerprint: string) => number;
   readonly events: EventLog;
   /** There is news that others should not wait for. */
-  readonly onNews: (source: NewsSource) => void;
+  readonly onUpdate: (source: UpdateSource) => void;
 }
 
 /** Whether news is of this host's own requests. */
-export type NewsSource = 'own' | 'heard';
+export type UpdateSource = 'own' | 'heard';
 
 /**
  * Turns requests away under which targets end one after the other, wherever they come: one host alone sees too
  * few of them. What hosts saw travels with the reports between them.
  */
-export class SuspectDuty {
+export class SuspectController {
   readonly table: SuspectTable;
-  readonly #options: SuspectDutyOptions;
-  readonly #records: SuspectRecords;
+  readonly #options: SuspectControllerOptions;
+  readonly #records: SuspectRecordStore;
   /** Requests that are tried by this host. */
   readonly #tried = new Set<string>();
   /** Requests whose trial was granted to this host after the one that asked had been turned away. */
@@ -52,15 +52,15 @@
   readonly #logged = new Set<string>();
   #toldAt = -Infinity;
 
-  constructor(options: SuspectDutyOptions) {
+  constructor(options: SuspectControllerOptions) {
     this.#options = options;
     this.table = new SuspectTable(options.clock);
-    this.#records = new SuspectRecords({ ...options, table: this.table });
+    this.#records = new SuspectRecordStore({ ...options, table: this.table });
   }
 
   /** The fingerprint of a request that was at a target when it ended; undefined for all others. */
-  find(request: FingerprintedRequest): string | undefined {
-    if (this.table.size === 0 || !this.table.hasHead(fingerprintHead(request))) {
+  findFingerprint(request: FingerprintedRequest): string | undefined {
+    if (this.table.size === 0 || !this.table.hasPrefix(fingerprintPrefix(request))) {
       return undefined;
     }
     const fingerprint = requestFingerprint(request);
@@ -72,7 +72,7 @@
     if (!this.table.isSuspect(fingerprint)) {
       return true;
     }
-    this.table.recordAsked(fingerprint);
+    this.table.recordArrival(fingerprint);
     const mayTry = this.#granted.delete(fingerprint) || (await this.#mayTry(fingerprint));
     if (mayTry) {
       this.#tried.add(fingerprint);
@@ -81,15 +81,15 @@
   }
 
   /** When a suspect may be asked for again with some hope, in seconds; undefined where there is none. */
-  returnSeconds(fingerprint: string): number | undefined {
-    return this.#records.mayBeTried(fingerprint)
+  retryAfterSeconds(fingerprint: string): number | undefined {
+    return this.#records.mayTry(fingerprint)
       ? TRIAL_AFTER_MILLISECONDS / MILLISECONDS_PER_SECOND
       : undefined;
   }
 
   /** A target ended that had requests of this host. */
-  recordEnd({ target, requests }: TargetEnd): void {
-    const news = requests.filter(({ fingerprint }) => this.table.recordEnd(fingerprint, target));
+  recordCrash({ target, requests }: TargetCrash): void {
+    const news = requests.filter(({ fingerprint }) => this.table.recordCrash(fingerprint, target));
     if (news.length > 0) {
       this.#logNewSuspects();
       this.#tellSoon('own');
@@ -98,20 +98,20 @@
 
   /** A target ran a request to its answer. */
   recordAnswer(fingerprint: string): void {
-    const answers = this.#tried.delete(fingerprint) ? ANSWERS_TO_TAKE_BACK : 1;
-    if (this.table.recordAnswer(fingerprint, answers)) {
+    const answers = this.#tried.delete(fingerprint) ? RESPONSES_TO_CLEAR : 1;
+    if (this.table.recordResponse(fingerprint, answers)) {
       this.#tellSoon('own');
     }
   }
 
   /** A target that was seen to end answers. */
-  recordLife(target: string): void {
-    this.table.recordLife(target);
+  recordAlive(target: string): void {
+    this.table.recordAlive(target);
   }
 
   /** Takes what another host tells. */
-  take(told: readonly ToldSuspect[]): void {
-    if (this.table.take(told)) {
+  merge(told: readonly SuspectReport[]): void {
+    if (this.table.merge(told)) {
       this.#logNewSuspects();
       this.#tellSoon('heard');
     }
@@ -156,17 +156,17 @@
     for (const fingerprint of suspects) {
       if (!this.#logged.has(fingerprint)) {
         this.#logged.add(fingerprint);
-        const targets = this.table.endsOf(fingerprint);
+        const targets = this.table.crashesOf(fingerprint);
         this.#options.events.write({ event: 'suspect', fingerprint, state: 'suspected', targets });
       }
     }
   }
 
-  #tellSoon(source: NewsSource): void {
+  #tellSoon(source: UpdateSource): void {
     const now = this.#options.clock.now();
     if (now - this.#toldAt >= LEAST_BETWEEN_URGENT_MILLISECONDS) {
       this.#toldAt = now;
-      this.#options.onNews(source);
+      this.#options.onUpdate(source);
     }
   }
 }
--- a/packages/entry/src/suspects/suspect-records.ts
+++ b/packages/entry/src/suspects/suspect-record-store.ts
@@ -1,11 +1,11 @@
-import { ANSWERS_TO_TAKE_BACK } from '@ferrylock/routing';
+import { RESPONSES_TO_CLEAR } from '@ferrylock/routing';
 import type { SuspectTable } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import type { EventLog } from '../events.js';
 import type { FleetChange } from '../fleet/fleet-record.js';
 import type { FleetStore } from '../fleet/fleet-store.js';
 import type { FleetView } from '../fleet/fleet-view.js';
-import { toldOfEpoch } from '../fleet/store-position.js';
+import { reportedEpochOf } from '../fleet/store-position.js';
 import type { SuspectRecord, SuspectState } from '../fleet/suspect-record.js';
 
 /** The longest that the store grants. A request that is asked for no more is forgotten after it. */
@@ -35,7 +35,7 @@
 /** Time between two claims of this host about one request: a store that refuses is not asked at each call of it. */
 const CLAIM_PAUSE_MILLISECONDS = 2_000;
 
-export interface SuspectRecordsOptions {
+export interface SuspectRecordStoreOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly events: EventLog;
@@ -45,7 +45,7 @@
   /** How many entry hosts there are. */
   readonly hosts: () => number;
   /** Place of this host among all in the order in which they write about a request; 0 for the first. */
-  readonly turnOf: (fingerprint: string) => number;
+  readonly writeOrderOf: (fingerprint: string) => number;
 }
 
 /** A record as it was seen last. */
@@ -62,8 +62,8 @@
  * whole fleet let each run once more. Every write holds only for the state that it was decided by: of several
  * hosts one writes, and one alone tries, whatever else they fail to know of one another.
  */
-export class SuspectRecords {
-  readonly #options: SuspectRecordsOptions;
+export class SuspectRecordStore {
+  readonly #options: SuspectRecordStoreOptions;
   readonly #held = new Map<string, HeldRecord>();
   readonly #fingerprintOfKey = new Map<string, string>();
   /** When this host writes about a request, unless another does before. */
@@ -72,7 +72,7 @@
   /** When this host last claimed a trial. */
   readonly #claimedAt = new Map<string, number>();
 
-  constructor(options: SuspectRecordsOptions) {
+  constructor(options: SuspectRecordStoreOptions) {
     this.#options = options;
     options.view.onChanges((changes) => {
       for (const change of changes) {
@@ -82,7 +82,7 @@
   }
 
   /** Whether a request has not been let run once more yet, so that it may be. */
-  mayBeTried(fingerprint: string): boolean {
+  mayTry(fingerprint: string): boolean {
     return this.#held.get(fingerprint)?.state !== 'tried';
   }
 
@@ -91,7 +91,7 @@
     const { clock, table } = this.#options;
     const held = this.#held.get(fingerprint);
     const now = clock.now();
-    const isOver = now - table.lastEndAt(fingerprint) >= TRIAL_AFTER_MILLISECONDS;
+    const isOver = now - table.lastCrashAt(fingerprint) >= TRIAL_AFTER_MILLISECONDS;
     const claimedAt = this.#claimedAt.get(fingerprint) ?? -Infinity;
     const isFirst = now - claimedAt >= CLAIM_PAUSE_MILLISECONDS;
     if (held?.state !== 'suspected' || held.isGone || !isOver || !isFirst) {
@@ -120,18 +120,18 @@
     if (held === undefined || held.state === 'cleared') {
       return true;
     }
-    return held.isGone && this.#options.table.keptFrom(fingerprint) > held.seenAt;
+    return held.isGone && this.#options.table.lastActivityAt(fingerprint) > held.seenAt;
   }
 
   #sweepHeld(held: HeldRecord): void {
-    const { clock, table, view, turnOf } = this.#options;
+    const { clock, table, view, writeOrderOf: turnOf } = this.#options;
     const { fingerprint, state, seenAt, key = '', isGone } = held;
     if (isGone && !table.isSuspect(fingerprint)) {
       this.#held.delete(fingerprint);
       this.#dueAt.delete(fingerprint);
       this.#claimedAt.delete(fingerprint);
     }
-    if (view.isKept(key)) {
+    if (view.isRetained(key)) {
       // The store came back from a copy that lacks it, or has an older state of it.
       this.#writeWhenDue(fingerprint, state, turnOf(fingerprint) * TURN_MILLISECONDS);
     }
@@ -139,9 +139,9 @@
       return;
     }
     this.#teach(held);
-    const isAnswered = table.has(fingerprint) && table.endsOf(fingerprint).length === 0;
+    const isAnswered = table.has(fingerprint) && table.crashesOf(fingerprint).length === 0;
     const isOld = clock.now() - seenAt > RENEWED_MILLISECONDS;
-    const isAskedFor = table.keptFrom(fingerprint) > seenAt;
+    const isAskedFor = table.lastActivityAt(fingerprint) > seenAt;
     if (isAnswered) {
       this.#writeWhenDue(fingerprint, 'cleared');
     } else if (isOld && isAskedFor) {
@@ -151,10 +151,10 @@
 
   /** Has the table know what a record says, as of when it was written last. */
   #teach({ fingerprint, targets, state, seenAt }: HeldRecord): void {
-    const answers = state === 'cleared' ? ANSWERS_TO_TAKE_BACK : 0;
+    const answers = state === 'cleared' ? RESPONSES_TO_CLEAR : 0;
     const ageMilliseconds = this.#options.clock.now() - seenAt;
-    const ends = targets.map((target) => ({ target, ageMilliseconds, answers }));
-    this.#options.table.take([{ fingerprint, ends }]);
+    const ends = targets.map((target) => ({ target, ageMilliseconds, responses: answers }));
+    this.#options.table.merge([{ fingerprint, crashes: ends }]);
   }
 
   #take({ key, record }: FleetChange): void {
@@ -169,7 +169,7 @@
       this.#teach(seen);
       if (suspect.state === 'cleared') {
         // Also what ended meanwhile, of which whoever cleared it did not know.
-        this.#options.table.recordAnswer(suspect.fingerprint, ANSWERS_TO_TAKE_BACK);
+        this.#options.table.recordResponse(suspect.fingerprint, RESPONSES_TO_CLEAR);
       }
     } else if (record === undefined && held !== undefined) {
       this.#fingerprintOfKey.delete(key);
@@ -192,7 +192,7 @@
       this.#dueAt.delete(fingerprint);
       const held = this.#held.get(fingerprint);
       const isTried = held?.state === 'tried' && state === 'suspected';
-      const targets = table.endsOf(fingerprint);
+      const targets = table.crashesOf(fingerprint);
       const unknown = { fingerprint, targets, state, key: undefined, isGone: true, seenAt: now };
       const former = held ?? unknown;
       const isNew = former.state === 'cleared' || former.targets.length === 0;
@@ -209,8 +209,8 @@
     this.#writing.add(fingerprint);
     const leaseMilliseconds = state === 'cleared' ? CLEARED_LEASE_MILLISECONDS : LEASE_MILLISECONDS;
     const suspect = { fingerprint, targets, state };
-    const revision = view.writtenRevision(key);
-    const epoch = toldOfEpoch(view.epoch);
+    const revision = view.storedRevision(key);
+    const epoch = reportedEpochOf(view.epoch);
     const written = await store.writeSuspect(suspect, { revision, epoch, leaseMilliseconds });
     this.#writing.delete(fingerprint);
     events.write({
--- a/packages/entry/src/suspects/target-ends.ts
+++ b/packages/entry/src/suspects/target-crash-detector.ts
@@ -29,17 +29,17 @@
 }
 
 /** A target's end, with requests of this host that it had. */
-export interface TargetEnd {
+export interface TargetCrash {
   /** The start that ended; another may have the same id by now. */
   readonly target: string;
   readonly requests: readonly LostRequest[];
 }
 
-export interface TargetEndsOptions {
+export interface TargetCrashDetectorOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly checkConnection: CheckConnection;
-  readonly onEnd: (end: TargetEnd) => void;
+  readonly onCrash: (end: TargetCrash) => void;
 }
 
 /** Lost answers of a target that is being looked at. */
@@ -54,15 +54,15 @@
  * answers are cut, connections reset and idle ones forgotten while their target lives. A target has ended where,
  * besides, nobody listens at its address any more, although its record says that it neither leaves nor has left.
  */
-export class TargetEnds {
+export class TargetCrashDetector {
   /** Targets seen to end. */
-  count = 0;
-  readonly #options: TargetEndsOptions;
+  crashes = 0;
+  readonly #options: TargetCrashDetectorOptions;
   readonly #losses = new Map<string, Losses>();
   /** When targets were seen to end, the longest ago first. */
   readonly #endedAt = new Map<string, number>();
 
-  constructor(options: TargetEndsOptions) {
+  constructor(options: TargetCrashDetectorOptions) {
     this.#options = options;
   }
 
@@ -70,25 +70,29 @@
    * Whether a target was seen to end that answers a request which it was sent before: then it lives. What is sent
    * later may be answered by its next start, in its name. Tells it once.
    */
-  takeBack({ start }: TargetState, sentAt: number): boolean {
+  retractCrash({ incarnationId: start }: TargetState, sentAt: number): boolean {
     const endedAt = this.#endedAt.size > 0 ? this.#endedAt.get(start) : undefined;
     return endedAt !== undefined && sentAt < endedAt && this.#endedAt.delete(start);
   }
 
   /** A target's connection closed before it had answered a request. */
-  recordLoss(service: ServiceTargets, state: TargetState, exchange: RoutedExchange): void {
+  recordConnectionLoss(
+    service: ServiceTargets,
+    state: TargetState,
+    exchange: RoutedExchange,
+  ): void {
     if (!isServing(service, state)) {
       return;
     }
     const request = describeRequest(exchange);
-    const known = this.#losses.get(state.start);
+    const known = this.#losses.get(state.incarnationId);
     if (known !== undefined) {
       known.requests.push(request);
-    } else if (this.#endedAt.has(state.start)) {
+    } else if (this.#endedAt.has(state.incarnationId)) {
       this.#tellEnd({ service, state, requests: [request] });
     } else {
       const losses = { service, state, requests: [request] };
-      this.#losses.set(state.start, losses);
+      this.#losses.set(state.incarnationId, losses);
       this.#options.clock.after(CHECK_AFTER_MILLISECONDS, () => {
         void this.#check(losses);
       });
@@ -98,10 +102,10 @@
   async #check(losses: Losses): Promise<void> {
     const { service, state } = losses;
     const check = await this.#options.checkConnection(state.record.address);
-    this.#losses.delete(state.start);
+    this.#losses.delete(state.incarnationId);
     if (check === 'refused' && isServing(service, state)) {
-      this.count++;
-      this.#remember(state.start);
+      this.crashes++;
+      this.#remember(state.incarnationId);
       this.#tellEnd(losses);
     } else {
       this.#log(losses, check);
@@ -121,7 +125,7 @@
 
   #tellEnd(losses: Losses): void {
     this.#log(losses, 'refused');
-    this.#options.onEnd({ target: losses.state.start, requests: losses.requests });
+    this.#options.onCrash({ target: losses.state.incarnationId, requests: losses.requests });
   }
 
   #log({ service, state, requests }: Losses, connection: ConnectionCheck): void {
--- a/packages/entry/src/busy-meter.ts
+++ b/packages/entry/src/utilization-meter.ts
@@ -13,10 +13,10 @@
  * The part of its time in which this process has work, lately. Where the host gives the process a
  * share of a core, waiting for the share counts as work: at 1 the process can take no more.
  */
-export class BusyMeter {
+export class UtilizationMeter {
   readonly #read: () => LoopTimes;
   #last: LoopTimes;
-  #share = 0;
+  #utilization = 0;
 
   constructor(read: () => LoopTimes = () => performance.eventLoopUtilization()) {
     this.#read = read;
@@ -24,8 +24,8 @@
   }
 
   /** From 0 to 1. */
-  get share(): number {
-    return this.#share;
+  get utilization(): number {
+    return this.#utilization;
   }
 
   /** To be called some five times a second. */
@@ -35,7 +35,7 @@
     const total = active + times.idle - this.#last.idle;
     this.#last = times;
     if (total > 0) {
-      this.#share += SAMPLE_WEIGHT * (active / total - this.#share);
+      this.#utilization += SAMPLE_WEIGHT * (active / total - this.#utilization);
     }
   }
 }
--- a/packages/entry/src/watch-duty.ts
+++ b/packages/entry/src/watcher-selection.ts
@@ -18,7 +18,7 @@
 /** Between the turns of two hosts to read everything anew. */
 const TURN_STEP_MILLISECONDS = 60;
 
-export interface WatchDutyOptions {
+export interface WatcherSelectionOptions {
   readonly clock: Clock;
   readonly view: FleetView;
   /** Whether this host is one of those that pass on what others tell. */
@@ -35,16 +35,16 @@
  * come to the same few without an election; where these fail, the others notice that nothing is
  * confirmed any more and ask for themselves, a few at a time.
  */
-export class WatchDuty {
-  readonly #options: WatchDutyOptions;
+export class WatcherSelection {
+  readonly #options: WatcherSelectionOptions;
   #rankedHosts: readonly string[] = [];
   #rank = 0;
 
-  constructor(options: WatchDutyOptions) {
+  constructor(options: WatcherSelectionOptions) {
     this.#options = options;
   }
 
-  get isNeeded(): boolean {
+  get isWatcher(): boolean {
     const { clock, view } = this.#options;
     const age = clock.now() - view.confirmedAt;
     if (view.isEmpty || age > STALE_MILLISECONDS + this.#stagger()) {
@@ -54,7 +54,7 @@
   }
 
   /** How long this host lets others go before it reads everything anew: those first that wait at the store, whose word reaches all soonest. */
-  get turnMilliseconds(): number {
+  get relistDelayMilliseconds(): number {
     const place = Math.min(this.#place(), WATCHERS + this.#ownRank());
     return Math.min(LONGEST_TURN_MILLISECONDS, place * TURN_STEP_MILLISECONDS);
   }
--- a/packages/entry/tests/accounts/account-fleet.test.ts
+++ b/packages/entry/tests/accounts/account-fleet.test.ts
@@ -37,7 +37,7 @@
   const duty = fleet.hosts[host]?.member.accounts;
   let ran = 0;
   for (let asked = 0; asked < count; asked++) {
-    ran += duty?.take(account) === undefined ? 1 : 0;
+    ran += duty?.acquire(account) === undefined ? 1 : 0;
   }
   return ran;
 }
--- a/packages/entry/tests/accounts/account-duty.test.ts
+++ b/packages/entry/tests/accounts/account-limit-controller.test.ts
@@ -1,7 +1,7 @@
 import { FakeClock, makeLimitedAccount } from '@ferrylock/test-utils';
 import { SeededRandom } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { AccountDuty } from '../../src/accounts/account-duty.js';
+import { AccountLimitController } from '../../src/accounts/account-limit-controller.js';
 import { makeHostRecord } from '../fixtures.js';
 
 const ACCOUNT = makeLimitedAccount(40);
@@ -16,15 +16,15 @@
     makeHostRecord({ name: `host-${index + 1}` }),
   );
   const rushes = { count: 0 };
-  const duty = new AccountDuty({
+  const duty = new AccountLimitController({
     clock,
     random: new SeededRandom(1),
     bound: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
     ownName: 'host-1',
     isFirstStart,
     hosts: () => records,
-    isHeard: ({ name }) => heard.has(name),
-    onRush: () => {
+    isAlive: ({ name }) => heard.has(name),
+    onSurge: () => {
       rushes.count++;
     },
   });
@@ -33,7 +33,7 @@
   const ask = (count: number): number => {
     let ran = 0;
     for (let asked = 0; asked < count; asked++) {
-      ran += duty.take(ACCOUNT) === undefined ? 1 : 0;
+      ran += duty.acquire(ACCOUNT) === undefined ? 1 : 0;
     }
     return ran;
   };
@@ -43,7 +43,7 @@
     for (let turn = 0; turn < 4; turn++) {
       await clock.advance(1_000);
       duty.sweep();
-      duty.takeHost(other(2), used(0), 5_000);
+      duty.mergeHostReport(other(2), used(0), 5_000);
       ran += ask(300);
     }
     return ran;
@@ -52,7 +52,7 @@
 }
 
 const other = (number: number, incarnation = 'first') => ({ name: `host-${number}`, incarnation });
-const used = (count: number) => ({ used: { haulier: count }, asked: { haulier: 1 } });
+const used = (count: number) => ({ used: { haulier: count }, demand: { haulier: 1 } });
 
 describe('AccountDuty', () => {
   it('gives the whole limit to a host that is alone', () => {
@@ -76,7 +76,7 @@
     }
     await clock.advance(200);
     duty.sweep();
-    duty.takeHost(other(2), used(0), 5_000);
+    duty.mergeHostReport(other(2), used(0), 5_000);
     expect(blind + ask(300)).toBe(TURN);
     const ran = TURN + (await askInTurns());
     expect(ran).toBeGreaterThan(200);
@@ -86,9 +86,9 @@
   it('counts what other hosts tell, and what an earlier start of a host told', async () => {
     const { clock, duty, heard } = makeDuty({ hosts: 3, heard: new Set(['host-2', 'host-3']) });
     duty.sweep();
-    duty.takeHost(other(2), used(60), 5_000);
-    duty.takeHost(other(3), used(50), 5_000);
-    duty.takeHost(other(2, 'second'), used(5), 5_000);
+    duty.mergeHostReport(other(2), used(60), 5_000);
+    duty.mergeHostReport(other(3), used(50), 5_000);
+    duty.mergeHostReport(other(2, 'second'), used(5), 5_000);
     expect(heard.size).toBe(2);
     await clock.advance(100);
     expect(duty.usage.others('haulier').used).toBe(60 + 50 + 5);
@@ -101,11 +101,11 @@
       heard: new Set(['host-2']),
     });
     duty.sweep();
-    duty.takeHost(other(2), used(0), 0);
+    duty.mergeHostReport(other(2), used(0), 0);
     expect(ask(100)).toBeLessThan(20);
-    duty.takeHost(other(2), used(0), 5_000);
+    duty.mergeHostReport(other(2), used(0), 5_000);
     await clock.advance(1_000);
-    duty.takeHost(other(2), used(0), 5_000);
+    duty.mergeHostReport(other(2), used(0), 5_000);
     expect(ask(200)).toBe(TURN);
     expect(TURN + (await askInTurns())).toBeGreaterThan(180);
   });
@@ -114,7 +114,7 @@
     const { clock, duty, ask } = makeDuty({ hosts: 10, heard: new Set(['host-2']) });
     await clock.advance(10_000);
     duty.sweep();
-    duty.takeHost(other(2), used(0), 5_000);
+    duty.mergeHostReport(other(2), used(0), 5_000);
     expect(ask(300)).toBeLessThanOrEqual(240 / 10);
   });
 
@@ -141,7 +141,7 @@
     ask(30);
     duty.report(7);
     ask(10);
-    duty.takeFleet(used(100), 7, 5_000);
+    duty.mergeFleetReport(used(100), 7, 5_000);
     await clock.advance(100);
     expect(duty.usage.others('haulier').used).toBe(70);
   });
--- a/packages/entry/tests/directory.test.ts
+++ b/packages/entry/tests/directory.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 import { Directory } from '../src/directory.js';
 import { FleetView } from '../src/index.js';
-import { PeerTable, SILENCE_MILLISECONDS } from '../src/peers/peer-table.js';
-import { hostChange, keepEvents } from './fixtures.js';
+import { PeerTable, PEER_TIMEOUT_MILLISECONDS } from '../src/peers/peer-table.js';
+import { hostChange, captureEvents } from './fixtures.js';
 
 interface FleetOptions {
   readonly large?: number;
@@ -14,7 +14,7 @@
 /** Hosts of one region, all of them heard; names begin with `large` or `small`. */
 function makeFleet({ large = 4, small = 20, region = 'jylland' }: FleetOptions = {}) {
   const clock = new FakeClock();
-  const { log } = keepEvents();
+  const { log } = captureEvents();
   const view = new FleetView();
   const peers = new PeerTable(clock, log, () => undefined);
   const names = [
@@ -33,10 +33,13 @@
     ),
   );
   let sequence = 0;
-  const report = (busyShare: number, heard = names): void => {
+  const report = (utilization: number, heard = names): void => {
     sequence++;
     for (const name of heard) {
-      peers.take({ name, incarnation: 'first', sequence, leaving: false, busyShare }, 'itself');
+      peers.update(
+        { name, incarnation: 'first', sequence, leaving: false, utilization: utilization },
+        'itself',
+      );
     }
   };
   report(0.1);
@@ -44,7 +47,7 @@
     view,
     peers,
     own: () => undefined,
-    longestLifetimeMilliseconds: 5_000,
+    maxTtlMilliseconds: 5_000,
   });
   const told = (caller = region): string[] => [...directory.answer(caller).trafficAddresses];
   return { clock, peers, names, report, told };
@@ -80,7 +83,7 @@
 
   it('leaves out hosts that fell silent', async () => {
     const { clock, peers, told, report, names } = makeFleet();
-    await clock.advance(SILENCE_MILLISECONDS + 1);
+    await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
     report(
       0.1,
       names.filter((name) => name !== 'large-2'),
--- a/packages/entry/tests/fixtures.ts
+++ b/packages/entry/tests/fixtures.ts
@@ -1,16 +1,16 @@
 import { IncomingMessage, ServerResponse } from 'node:http';
 import { Socket } from 'node:net';
 import type { RouteConfiguration, TargetRecord } from '@ferrylock/routing';
-import { NO_LIMITS, NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import { NO_LIMITS, NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import { makeRoute, makeTargetRecord, MemoryFleetStore } from '@ferrylock/test-utils';
 import { SeededRandom, silentLogger } from '@ferrylock/utils';
 import type { Clock } from '@ferrylock/utils';
 import type { EntryEvent, EntryHostRecord, FleetChange } from '../src/index.js';
 import { EventLog, FleetView } from '../src/index.js';
-import { AccountDuty } from '../src/accounts/account-duty.js';
-import { LimitDuty } from '../src/limits/limit-duty.js';
+import { AccountLimitController } from '../src/accounts/account-limit-controller.js';
+import { TargetLimitController } from '../src/limits/target-limit-controller.js';
 import type { RoutedExchange } from '../src/request/caller-exchange.js';
-import { SuspectDuty } from '../src/suspects/suspect-duty.js';
+import { SuspectController } from '../src/suspects/suspect-controller.js';
 import { RoutingState } from '../src/routing/routing-state.js';
 
 export function makeHostRecord(changes: Partial<EntryHostRecord> = {}): EntryHostRecord {
@@ -78,60 +78,60 @@
     ownRegion: 'jylland',
     regions: {},
     drainMilliseconds: 2_000,
-    shiftBound: { share: 0.15, windowMilliseconds: 2_000 },
+    regionShiftLimit: { share: 0.15, windowMilliseconds: 2_000 },
     limits: NO_LIMITS,
-    leftOut: NOTHING_LEFT_OUT,
-    retryBound: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
-    storeReturnedAt: () => -Infinity,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
+    retryBudget: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
+    storeAvailableSince: () => -Infinity,
   });
 }
 
 /** Keeps accounts to their limits at a host that is alone. */
-export function makeAccountDuty(clock: Clock): AccountDuty {
-  return new AccountDuty({
+export function makeAccountDuty(clock: Clock): AccountLimitController {
+  return new AccountLimitController({
     clock,
     random: new SeededRandom(1),
     bound: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
     ownName: 'host-1',
     isFirstStart: true,
     hosts: () => [],
-    isHeard: () => true,
-    onRush: () => undefined,
+    isAlive: () => true,
+    onSurge: () => undefined,
   });
 }
 
 /** Keeps to targets' limits at a host that is alone and knows no target. */
-export function makeLimitDuty(clock: Clock, events: EventLog): LimitDuty {
-  return new LimitDuty({
+export function makeLimitDuty(clock: Clock, events: EventLog): TargetLimitController {
+  return new TargetLimitController({
     clock,
     random: new SeededRandom(1),
     events,
     ownName: 'host-1',
-    leftOut: NOTHING_LEFT_OUT,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
     hosts: () => [],
     hostNames: () => ['host-1'],
-    isHeard: () => true,
+    isAlive: () => true,
     targetOfStart: () => undefined,
-    onNews: () => undefined,
+    onUpdate: () => undefined,
   });
 }
 
 /** Turns suspects away at a host that is alone. */
-export function makeSuspectDuty(clock: Clock, events: EventLog): SuspectDuty {
-  return new SuspectDuty({
+export function makeSuspectDuty(clock: Clock, events: EventLog): SuspectController {
+  return new SuspectController({
     clock,
     random: new SeededRandom(1),
     events,
     store: new MemoryFleetStore(clock),
     view: new FleetView(),
     hosts: () => 1,
-    turnOf: () => 0,
-    onNews: () => undefined,
+    writeOrderOf: () => 0,
+    onUpdate: () => undefined,
   });
 }
 
 /** An event log that keeps what is written to it. */
-export function keepEvents(): { log: EventLog; events: EntryEvent[] } {
+export function captureEvents(): { log: EventLog; events: EntryEvent[] } {
   const events: EntryEvent[] = [];
   const log = new EventLog({
     ...silentLogger,
@@ -149,7 +149,7 @@
     request,
     response: new ServerResponse(request),
     path: '/verdicts/1',
-    demand: {
+    metadata: {
       requestId: 'request-1',
       deadlineMilliseconds: undefined,
       affinityKey: undefined,
@@ -161,7 +161,7 @@
     route: makeRoute(),
     version: 1,
     body: undefined,
-    endAt: 1_000,
+    deadlineAt: 1_000,
     ...changes,
   };
 }
--- a/packages/entry/tests/fleet-member.test.ts
+++ b/packages/entry/tests/fleet-member.test.ts
@@ -31,7 +31,7 @@
 function believers(fleet: EntryFleet, name: string): number {
   return fleet.hosts.filter(({ member }) => {
     const record = member.hosts.find((host) => host.name === name);
-    return record !== undefined && member.peers.takesCallers(record);
+    return record !== undefined && member.peers.isServing(record);
   }).length;
 }
 
@@ -75,7 +75,7 @@
     const others = fleet.hosts.filter((host) => host !== leaving);
     const name = leaving?.record.name ?? '';
     const believing = others.filter(({ member }) =>
-      member.hosts.some((host) => host.name === name && member.peers.takesCallers(host)),
+      member.hosts.some((host) => host.name === name && member.peers.isServing(host)),
     );
     expect(believing).toEqual([]);
   });
@@ -85,7 +85,7 @@
     fleet.addCallers(9, 300);
     await clock.advance(12_000);
     const sums = fleet.hosts.map(({ member }) =>
-      [...(member.peers.toldDemand?.values() ?? [])]
+      [...(member.peers.regionDemand?.values() ?? [])]
         .flatMap((asked) => Object.values(asked))
         .reduce((sum, rate) => sum + rate, 0),
     );
--- a/packages/entry/tests/fleet/fleet-view.test.ts
+++ b/packages/entry/tests/fleet/fleet-view.test.ts
@@ -65,7 +65,7 @@
     const other = new FleetView();
     other.replace({ revision: 3 }, [targetChange(2)]);
     view.replace({ revision: 9 }, []);
-    const delta = view.deltaAfter(other.lastChange);
+    const delta = view.deltaSince(other.lastChange);
     if (delta === undefined) {
       other.replace(view.position, view.entries);
     } else {
@@ -87,11 +87,11 @@
     view.apply({ afterRevision: 2, revision: 4, changes: [targetChange(4, { id: 'target-2' })] });
     const other = new FleetView();
     other.replace({ revision: 2 }, [targetChange(1)]);
-    const delta = view.deltaAfter({ revision: 2 });
+    const delta = view.deltaSince({ revision: 2 });
     expect(delta?.changes).toHaveLength(1);
     expect(delta !== undefined && other.apply(delta)).toBe(true);
     expect(idsIn(other)).toEqual(idsIn(view));
-    expect(view.deltaAfter({ revision: 1 })).toBeUndefined();
+    expect(view.deltaSince({ revision: 1 })).toBeUndefined();
   });
 
   it('is confirmed only by who knows its newest change', () => {
--- a/packages/entry/tests/fleet/host-registration.test.ts
+++ b/packages/entry/tests/fleet/host-registration.test.ts
@@ -1,8 +1,8 @@
 import { FakeClock, MemoryFleetStore } from '@ferrylock/test-utils';
 import { SeededRandom } from '@ferrylock/utils';
 import { afterEach, describe, expect, it } from 'vitest';
-import { HostRegistration, returnSpreadMilliseconds } from '../../src/fleet/host-registration.js';
-import { keepEvents, makeHostRecord } from '../fixtures.js';
+import { HostRegistration, restoreSpreadMilliseconds } from '../../src/fleet/host-registration.js';
+import { captureEvents, makeHostRecord } from '../fixtures.js';
 
 /** By when hosts' records are to be back after the store's return. */
 const BACK_MILLISECONDS = 2_000;
@@ -13,7 +13,7 @@
 }
 
 function register(store: MemoryFleetStore, clock: FakeClock, seed: number, name: string) {
-  const { log } = keepEvents();
+  const { log } = captureEvents();
   const registration = new HostRegistration({
     clock,
     random: new SeededRandom(seed),
@@ -44,7 +44,7 @@
       const copy = store.takeCopy();
       await clock.advance(1_000);
       store.restore(copy);
-      registration.recordReturn();
+      registration.recordRestore();
       await clock.advance(BACK_MILLISECONDS);
       expect(await recorded(store, clock)).toEqual(['hosts/host-1']);
       expect(store.formerLeaseCalls).toEqual([]);
@@ -59,7 +59,7 @@
     await clock.advance(1_000);
     store.restore(copy);
     const before = store.calls.write;
-    registration.recordReturn();
+    registration.recordRestore();
     await clock.advance(30_000);
     expect(store.calls.write).toBe(before);
     expect(await recorded(store, clock)).toEqual(['hosts/host-1']);
@@ -74,7 +74,7 @@
     store.restore(copy);
     const other = register(store, clock, 2, 'host-2').registration;
     await clock.advance(100);
-    registration.recordReturn();
+    registration.recordRestore();
     await clock.advance(BACK_MILLISECONDS);
     expect(await recorded(store, clock)).toEqual(['hosts/host-2', 'hosts/host-1']);
     await Promise.all([registration.stop(), clock.advance(100)]);
@@ -100,7 +100,7 @@
     await clock.advance(1_000);
     store.restore(copy);
     store.setAway(true);
-    registration.recordReturn();
+    registration.recordRestore();
     await clock.advance(5_000);
     store.setAway(false);
     await clock.advance(BACK_MILLISECONDS);
@@ -108,8 +108,8 @@
   });
 
   it('spreads the hosts of a large fleet, so that they ask for at most some 170 records a second', () => {
-    expect(returnSpreadMilliseconds(12)).toBeLessThan(BACK_MILLISECONDS);
-    expect(returnSpreadMilliseconds(300)).toBeLessThanOrEqual(BACK_MILLISECONDS);
-    expect(4_600 / returnSpreadMilliseconds(4_600)).toBeLessThan(0.17);
+    expect(restoreSpreadMilliseconds(12)).toBeLessThan(BACK_MILLISECONDS);
+    expect(restoreSpreadMilliseconds(300)).toBeLessThanOrEqual(BACK_MILLISECONDS);
+    expect(4_600 / restoreSpreadMilliseconds(4_600)).toBeLessThan(0.17);
   });
 });
--- a/packages/entry/tests/fleet/return-fleet.ts
+++ b/packages/entry/tests/fleet/restore-fleet.ts
@@ -24,7 +24,7 @@
   return { clock, fleet };
 }
 
-export interface Return {
+export interface RestoreOptions {
   readonly clock: FakeClock;
   readonly fleet: EntryFleet;
   /** What is written after the copy was taken. */
@@ -34,13 +34,13 @@
 }
 
 /** The store goes away and comes back from a copy; the function given back has others write again what they had written. */
-export async function returnFromCopy({
+export async function restoreFromSnapshot({
   clock,
   fleet,
   since = () => undefined,
   awayMilliseconds = AWAY_MILLISECONDS,
   isHistoryLost = false,
-}: Return): Promise<() => void> {
+}: RestoreOptions): Promise<() => void> {
   const copy = fleet.store.takeCopy();
   await since();
   await clock.advance(1_000);
@@ -63,7 +63,7 @@
 }
 
 /** Whether each host would send requests to a target. */
-export function users(fleet: EntryFleet, id: string): string[] {
+export function hostsUsing(fleet: EntryFleet, id: string): string[] {
   return fleet.hosts
     .filter(({ member }) => {
       const target = member.state.serviceOfTarget(id)?.targets.get(id);
@@ -73,7 +73,7 @@
 }
 
 /** Looks at something again and again for a time. */
-export async function sampled<T>(
+export async function collectSamples<T>(
   clock: FakeClock,
   milliseconds: number,
   sample: () => T,
@@ -104,7 +104,7 @@
 }
 
 /** The store comes back with a target as ready that said since the copy that it leaves, and whose record had gone by then or not. */
-export async function returnWithLeaver({ isGone }: { readonly isGone: boolean }) {
+export async function restoreWithLeavingTarget({ isGone }: { readonly isGone: boolean }) {
   const { clock, fleet } = await makeFleet();
   putTarget(fleet, 'leaver', 'ready', 1);
   await clock.advance(1_000);
@@ -115,6 +115,6 @@
       fleet.store.remove('targets/leaver');
     }
   };
-  await returnFromCopy({ clock, fleet, since });
+  await restoreFromSnapshot({ clock, fleet, since });
   return { clock, fleet };
 }
--- a/packages/entry/tests/fleet/store-health.test.ts
+++ b/packages/entry/tests/fleet/store-health.test.ts
@@ -1,11 +1,11 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
 import { StoreHealth } from '../../src/fleet/store-health.js';
-import { keepEvents } from '../fixtures.js';
+import { captureEvents } from '../fixtures.js';
 
 async function makeLost() {
   const clock = new FakeClock();
-  const { log, events } = keepEvents();
+  const { log, events } = captureEvents();
   const health = new StoreHealth(clock, log);
   await clock.advance(1_000);
   health.recordFailure('watch', 'no answer');
@@ -15,21 +15,21 @@
 describe('StoreHealth', () => {
   it('is lost until a call succeeds', async () => {
     const { clock, health } = await makeLost();
-    expect(health.returnedAt).toBe(Infinity);
+    expect(health.availableSince).toBe(Infinity);
     await clock.advance(500);
     health.recordSuccess(clock.now());
-    expect(health.returnedAt).toBe(1_500);
-    expect(health.isLost).toBe(false);
+    expect(health.availableSince).toBe(1_500);
+    expect(health.isUnavailable).toBe(false);
   });
 
   it('is regained by what others were answered, for a host that makes no calls itself', async () => {
     const { clock, health } = await makeLost();
     await clock.advance(500);
     health.recordConfirmation(900);
-    expect(health.isLost).toBe(true);
+    expect(health.isUnavailable).toBe(true);
     health.recordConfirmation(1_400);
-    expect(health.isLost).toBe(false);
-    expect(health.returnedAt).toBe(1_500);
+    expect(health.isUnavailable).toBe(false);
+    expect(health.availableSince).toBe(1_500);
   });
 
   it('writes one line for each loss and each return', async () => {
--- a/packages/entry/tests/fleet/store-return.test.ts
+++ b/packages/entry/tests/fleet/store-restore.test.ts
@@ -8,12 +8,12 @@
   allOf,
   makeFleet,
   putTarget,
-  returnFromCopy,
-  returnWithLeaver,
-  sampled,
-  users,
+  restoreFromSnapshot,
+  restoreWithLeavingTarget,
+  collectSamples,
+  hostsUsing,
   versions,
-} from './return-fleet.js';
+} from './restore-fleet.js';
 
 /** By when a change is to be in force, and hosts' records to be back. */
 const IN_FORCE_MILLISECONDS = 2_000;
@@ -34,7 +34,7 @@
     'a change that is confirmed then is in force at all of $hosts hosts within 2 s, $changes changes having been lost',
     async ({ hosts, domains, changes }) => {
       const { clock, fleet } = await makeFleet({ hosts, domains });
-      const writeAgain = await returnFromCopy({
+      const writeAgain = await restoreFromSnapshot({
         clock,
         fleet,
         since: () => {
@@ -56,7 +56,7 @@
     const { clock, fleet } = await makeFleet();
     putTarget(fleet, 'leaver', 'ready', 1);
     await clock.advance(1_000);
-    await returnFromCopy({
+    await restoreFromSnapshot({
       clock,
       fleet,
       since: () => {
@@ -67,7 +67,7 @@
     await clock.advance(1_000);
     putTarget(fleet, 'leaver', 'draining', 9);
     await clock.advance(IN_FORCE_MILLISECONDS);
-    expect(users(fleet, 'leaver')).toEqual([]);
+    expect(hostsUsing(fleet, 'leaver')).toEqual([]);
   });
 
   it.each([
@@ -79,7 +79,7 @@
     async ({ hosts, domains, isHistoryLost }) => {
       const { clock, fleet } = await makeFleet({ hosts, domains });
       const before = fleet.store.calls.list;
-      await returnFromCopy({
+      await restoreFromSnapshot({
         clock,
         fleet,
         isHistoryLost,
@@ -95,14 +95,16 @@
 
   it('no host goes back to an older configuration, though the store holds one for seconds', async () => {
     const { clock, fleet } = await makeFleet();
-    const writeAgain = await returnFromCopy({
+    const writeAgain = await restoreFromSnapshot({
       clock,
       fleet,
       since: () => {
         fleet.configure(4);
       },
     });
-    const samples = await sampled(clock, 6_000, () => Math.min(...versions(fleet).map(Number)));
+    const samples = await collectSamples(clock, 6_000, () =>
+      Math.min(...versions(fleet).map(Number)),
+    );
     expect(Math.min(...samples)).toBe(4);
     writeAgain();
     fleet.configure(5);
@@ -112,7 +114,7 @@
 
   it('a host that starts then never serves the older configuration that the store holds', async () => {
     const { clock, fleet } = await makeFleet();
-    await returnFromCopy({
+    await restoreFromSnapshot({
       clock,
       fleet,
       since: () => {
@@ -121,7 +123,7 @@
     });
     await clock.advance(500);
     fleet.addHost();
-    const samples = await sampled(clock, 3_000, () => versions(fleet).at(-1));
+    const samples = await collectSamples(clock, 3_000, () => versions(fleet).at(-1));
     expect(samples.at(-1)).toBe(4);
     expect(samples.filter((version) => version === 3)).toEqual([]);
   });
@@ -136,7 +138,7 @@
         const since = (): void => {
           fleet.configure(4 + index);
         };
-        const writeAgain = await returnFromCopy({ clock, fleet, since });
+        const writeAgain = await restoreFromSnapshot({ clock, fleet, since });
         await clock.advance(1_000);
         if (index < returns - 1) {
           writeAgain();
@@ -159,8 +161,8 @@
         fleet.addHost();
         await clock.advance(3_000);
       };
-      await returnFromCopy({ clock, fleet, since, awayMilliseconds: 0 });
-      const known = await sampled(clock, IN_FORCE_MILLISECONDS, () =>
+      await restoreFromSnapshot({ clock, fleet, since, awayMilliseconds: 0 });
+      const known = await collectSamples(clock, IN_FORCE_MILLISECONDS, () =>
         Math.min(...fleet.hosts.map(({ member }) => member.hostNames.length)),
       );
       const listing = (await Promise.all([fleet.store.list(), clock.advance(50)]))[0].unwrap();
@@ -176,7 +178,7 @@
       fleet.addHost();
       await clock.advance(3_000);
     };
-    await returnFromCopy({ clock, fleet, since });
+    await restoreFromSnapshot({ clock, fleet, since });
     const [gone] = fleet.hosts.splice(-1);
     await Promise.all([gone?.member.close(), clock.advance(700)]);
     fleet.addHost(20);
@@ -194,7 +196,7 @@
       fleet.addHost();
       await clock.advance(3_000);
     };
-    await returnFromCopy({ clock, fleet, since });
+    await restoreFromSnapshot({ clock, fleet, since });
     await clock.advance(1_000);
     const learnedAt = clock.now();
     void fleet.hosts.at(-1)?.member.leave();
@@ -203,24 +205,26 @@
   });
 
   it('a target that left is not used again since the copy still has it', async () => {
-    const { clock, fleet } = await returnWithLeaver({ isGone: true });
-    const used = await sampled(clock, THREE_HEARTBEATS_MILLISECONDS, () => users(fleet, 'leaver'));
+    const { clock, fleet } = await restoreWithLeavingTarget({ isGone: true });
+    const used = await collectSamples(clock, THREE_HEARTBEATS_MILLISECONDS, () =>
+      hostsUsing(fleet, 'leaver'),
+    );
     fleet.store.remove('targets/leaver');
-    used.push(...(await sampled(clock, 3_000, () => users(fleet, 'leaver'))));
+    used.push(...(await collectSamples(clock, 3_000, () => hostsUsing(fleet, 'leaver'))));
     expect(used.flat()).toEqual([]);
   });
 
   it('a target that is leaving is not free again since the copy has an older record of its start', async () => {
-    const { clock, fleet } = await returnWithLeaver({ isGone: false });
-    const used = await sampled(clock, 2_000, () => users(fleet, 'leaver'));
+    const { clock, fleet } = await restoreWithLeavingTarget({ isGone: false });
+    const used = await collectSamples(clock, 2_000, () => hostsUsing(fleet, 'leaver'));
     fleet.addHost();
-    used.push(...(await sampled(clock, 2_000, () => users(fleet, 'leaver'))));
+    used.push(...(await collectSamples(clock, 2_000, () => hostsUsing(fleet, 'leaver'))));
     expect(used.flat()).toEqual([]);
   });
 
   it('a target that left is not free again where the copy’s record of it outlasts all who might write again', async () => {
-    const { clock, fleet } = await returnWithLeaver({ isGone: true });
-    const used = await sampled(clock, 12_000, () => users(fleet, 'leaver'));
+    const { clock, fleet } = await restoreWithLeavingTarget({ isGone: true });
+    const used = await collectSamples(clock, 12_000, () => hostsUsing(fleet, 'leaver'));
     expect(used.flat()).toEqual([]);
   });
 
@@ -232,13 +236,13 @@
       fleet.store.remove('evacuate/domain-1');
       fleet.store.put('evacuate/domain-0', { kind: 'evacuation', failureDomain: 'domain-0' });
     };
-    const writeAgain = await returnFromCopy({ clock, fleet, since });
+    const writeAgain = await restoreFromSnapshot({ clock, fleet, since });
     const evacuated = (): string[] =>
       fleet.hosts.flatMap(({ member }) => [...member.state.evacuatedDomains]);
     const expected = allOf(fleet, 'domain-0');
-    const before = await sampled(clock, 1_500, evacuated);
+    const before = await collectSamples(clock, 1_500, evacuated);
     writeAgain();
-    const after = await sampled(clock, 6_000, evacuated);
+    const after = await collectSamples(clock, 6_000, evacuated);
     expect([...before, ...after].filter((domains) => domains.join() !== expected.join())).toEqual(
       [],
     );
@@ -247,7 +251,7 @@
   it('and does not say so, a change that is confirmed then is in force within 4 s, and nobody reads without a pause', async () => {
     const { clock, fleet } = await makeFleet();
     fleet.store.epoch = undefined;
-    await returnFromCopy({
+    await restoreFromSnapshot({
       clock,
       fleet,
       since: () => {
--- a/packages/entry/tests/fleet/store-watch.test.ts
+++ b/packages/entry/tests/fleet/store-watch.test.ts
@@ -1,4 +1,4 @@
-import { NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import { NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import { FakeClock } from '@ferrylock/test-utils';
 import { SeededRandom } from '@ferrylock/utils';
 import { Err, Ok } from 'ts-results-es';
@@ -8,7 +8,7 @@
 import { StoreWatch } from '../../src/fleet/store-watch.js';
 import type { FleetChanges, FleetStore, FleetStoreFailure } from '../../src/index.js';
 import { FleetView } from '../../src/index.js';
-import { configurationChange, keepEvents, targetChange } from '../fixtures.js';
+import { configurationChange, captureEvents, targetChange } from '../fixtures.js';
 
 type Answer = Result<FleetChanges, FleetStoreFailure>;
 
@@ -42,7 +42,7 @@
 
 function makeWatch() {
   const clock = new FakeClock();
-  const { log, events } = keepEvents();
+  const { log, events } = captureEvents();
   const store = new ScriptedStore();
   const view = new FleetView();
   const health = new StoreHealth(clock, log);
@@ -54,10 +54,10 @@
     store,
     view,
     health,
-    leftOut: NOTHING_LEFT_OUT,
-    isNeeded: () => duty.isNeeded,
-    turnMilliseconds: () => duty.turnMilliseconds,
-    askOthers: () => Promise.resolve(duty.takeTold),
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
+    isWatcher: () => duty.isNeeded,
+    relistDelayMilliseconds: () => duty.turnMilliseconds,
+    queryPeers: () => Promise.resolve(duty.takeTold),
   });
   return { clock, events, store, view, health, duty, watch };
 }
@@ -100,12 +100,12 @@
     ];
     watch.start();
     await clock.advance(100);
-    expect(health.isLost).toBe(true);
-    expect(health.returnedAt).toBe(Infinity);
+    expect(health.isUnavailable).toBe(true);
+    expect(health.availableSince).toBe(Infinity);
     expect(view.records('target')).toHaveLength(1);
     expect(store.calls).toHaveLength(2);
     await clock.advance(2_000);
-    expect(health.isLost).toBe(false);
+    expect(health.isUnavailable).toBe(false);
     const names = events.map(({ event }) => event);
     expect(names.filter((name) => name.startsWith('store-'))).toEqual([
       'store-lost',
--- a/packages/entry/tests/fleet/view-return.test.ts
+++ b/packages/entry/tests/fleet/view-restore.test.ts
@@ -4,7 +4,7 @@
 import { describe, expect, it } from 'vitest';
 import type { FleetChange, FleetRecord } from '../../src/index.js';
 import { FleetView } from '../../src/index.js';
-import type { StoreReturn } from '../../src/fleet/store-return.js';
+import type { StoreRestore } from '../../src/fleet/store-restore.js';
 import type { StorePosition } from '../../src/fleet/store-position.js';
 import { configurationChange, hostChange, targetChange } from '../fixtures.js';
 
@@ -30,8 +30,8 @@
 /** A host that knew version 4 when the store came back with version 3. */
 function makeReturned() {
   const view = new FleetView();
-  const returns: StoreReturn[] = [];
-  view.onReturn((returned) => returns.push(returned));
+  const returns: StoreRestore[] = [];
+  view.onRestore((returned) => returns.push(returned));
   view.replace(
     { epoch: 1, revision: 3 },
     LISTED.map((change) => at(1, change)),
@@ -61,9 +61,9 @@
 /** Has one host learn from another what a call between them carries. */
 function learn(from: FleetView, to: FleetView): void {
   const isFurther = to.epoch > from.epoch;
-  const delta = isFurther || to.isEmpty ? undefined : from.deltaAfter(to.position);
+  const delta = isFurther || to.isEmpty ? undefined : from.deltaSince(to.position);
   if (delta === undefined) {
-    const whole = from.whole();
+    const whole = from.snapshot();
     to.replace({ epoch: whole.epoch, revision: whole.revision }, whole.changes);
   } else {
     to.apply(delta);
@@ -84,9 +84,9 @@
     expect(versionOf(view)).toBe(5);
     expect(returns).toMatchObject([
       {
-        former: { epoch: 1, revision: 9 },
+        previous: { epoch: 1, revision: 9 },
         position: { epoch: 2, revision: 5 },
-        kept: ['configuration', 'targets/target-1', 'hosts/new'],
+        retained: ['configuration', 'targets/target-1', 'hosts/new'],
         missing: ['hosts/new'],
       },
     ]);
@@ -97,7 +97,7 @@
     expect(versionOf(view)).toBe(4);
     expect(view.records('target')[0]?.target.state).toBe('draining');
     expect(namesIn(view)).toEqual(['old', 'new']);
-    const mark = view.keptMark;
+    const mark = view.retainedDigest;
     expect(mark).toBeDefined();
     const written = [
       at(2, configurationChange(6, { version: 4 })),
@@ -110,20 +110,20 @@
       revision: 7,
       changes: written,
     });
-    expect(view.kept.map(({ key }) => key)).toEqual(['hosts/new']);
-    expect(view.keptMark).not.toBe(mark);
-    view.settle();
+    expect(view.retained.map(({ key }) => key)).toEqual(['hosts/new']);
+    expect(view.retainedDigest).not.toBe(mark);
+    view.reconcile();
     expect(namesIn(view)).toEqual(['old']);
-    expect([versionOf(view), view.keptMark]).toEqual([4, undefined]);
+    expect([versionOf(view), view.retainedDigest]).toEqual([4, undefined]);
   });
 
   it('never gives up a configuration that is not written again', () => {
     const { view } = makeReturned();
-    view.settle();
+    view.reconcile();
     view.replace({ epoch: 2, revision: 8 }, [at(2, configurationChange(3, { version: 3 }))]);
     expect(versionOf(view)).toBe(4);
     view.replace({ epoch: 3, revision: 2 }, []);
-    view.settle();
+    view.reconcile();
     expect(versionOf(view)).toBe(4);
   });
 
@@ -168,7 +168,7 @@
       revision: 5,
       changes: [{ key: 'targets/target-1', epoch: 2, revision: 5 }],
     });
-    view.settle();
+    view.reconcile();
     expect([view.records('target'), namesIn(view)]).toEqual([[], ['left']]);
   });
 
@@ -190,8 +190,8 @@
       { epoch: 1, revision: 3 },
       LISTED.map((change) => at(1, change)),
     );
-    expect(view.deltaAfter({ epoch: 1, revision: 12 })).toBeUndefined();
-    expect(view.deltaAfter({ epoch: 1, revision: 9 })?.changes.length).toBeGreaterThan(0);
+    expect(view.deltaSince({ epoch: 1, revision: 12 })).toBeUndefined();
+    expect(view.deltaSince({ epoch: 1, revision: 9 })?.changes.length).toBeGreaterThan(0);
     learn(view, less);
     expect([versionOf(less), less.position]).toEqual([4, view.position]);
     expect(less.lastChange).toEqual(view.lastChange);
@@ -339,7 +339,7 @@
       store.writeAgain();
       for (const view of views) {
         store.tell(view);
-        view.settle();
+        view.reconcile();
         expect(contentOf(view.entries)).toEqual(contentOf(store.list()));
       }
     },
--- a/packages/entry/tests/peers/account-rows.test.ts
+++ b/packages/entry/tests/peers/account-rows.test.ts
@@ -3,20 +3,20 @@
 
 describe('rows of accounts’ use', () => {
   it('are read as they were written', () => {
-    const usage = { used: { haulier: 12, grower: 3 }, asked: { haulier: 5, grower: 0 } };
+    const usage = { used: { haulier: 12, grower: 3 }, demand: { haulier: 5, grower: 0 } };
     expect(accountUsageSchema.parse(encodeAccountUsage(usage))).toEqual(usage);
   });
 
   it('round parts of a request up', () => {
-    const usage = { used: { haulier: 1.2 }, asked: { haulier: 0.3 } };
+    const usage = { used: { haulier: 1.2 }, demand: { haulier: 0.3 } };
     expect(accountUsageSchema.parse(encodeAccountUsage(usage))).toEqual({
       used: { haulier: 2 },
-      asked: { haulier: 1 },
+      demand: { haulier: 1 },
     });
   });
 
   it('cost nothing at rest', () => {
-    expect(encodeAccountUsage({ used: {}, asked: {} })).toBe('');
+    expect(encodeAccountUsage({ used: {}, demand: {} })).toBe('');
   });
 
   it.each(['haulier\tmany\t1', 'haulier', 'haulier\t-1\t1', ''])(
--- a/packages/entry/tests/peers/limit-rows.test.ts
+++ b/packages/entry/tests/peers/limit-rows.test.ts
@@ -4,20 +4,20 @@
 describe('rows of limits', () => {
   it('tell limits, lifted ones, and what is used and wanted', () => {
     const told = {
-      usage: { used: { 'i-1~1': 3 }, asked: { 'i-1~1': 0.25 } },
-      words: new Map([
+      usage: { used: { 'i-1~1': 3 }, demand: { 'i-1~1': 0.25 } },
+      limits: new Map([
         ['i-1~1', { perSecond: 4.6, ageMilliseconds: 300 }],
         ['i-2~1', { perSecond: undefined, ageMilliseconds: 1_200 }],
       ]),
     };
     expect(limitsSchema.parse(encodeLimits(told))).toEqual({
-      usage: { used: { 'i-1~1': 3, 'i-2~1': 0 }, asked: { 'i-1~1': 0.25, 'i-2~1': 0 } },
-      words: told.words,
+      usage: { used: { 'i-1~1': 3, 'i-2~1': 0 }, demand: { 'i-1~1': 0.25, 'i-2~1': 0 } },
+      limits: told.limits,
     });
   });
 
   it('are empty where no target names a limit', () => {
-    expect(encodeLimits({ usage: { used: {}, asked: {} }, words: new Map() })).toBe('');
+    expect(encodeLimits({ usage: { used: {}, demand: {} }, limits: new Map() })).toBe('');
   });
 
   it.each([
@@ -28,7 +28,7 @@
     'i-1\t1\t1',
     'i-1',
   ])('pass over one that makes no sense: %j', (row) => {
-    const { words } = limitsSchema.parse(`${row}\ni-2\t1\t1\t1\t1`);
+    const { limits: words } = limitsSchema.parse(`${row}\ni-2\t1\t1\t1\t1`);
     expect([...words.keys()]).toEqual(['i-2']);
   });
 
@@ -39,7 +39,7 @@
         { perSecond: 4.6, ageMilliseconds: 100 },
       ]),
     );
-    const bytes = encodeLimits({ usage: { used: {}, asked: {} }, words }).length;
+    const bytes = encodeLimits({ usage: { used: {}, demand: {} }, limits: words }).length;
     expect(bytes / 100).toBeLessThan(40);
   });
 });
--- a/packages/entry/tests/peers/message-writer.test.ts
+++ b/packages/entry/tests/peers/message-writer.test.ts
@@ -5,10 +5,10 @@
 import { PeerLoads } from '../../src/peers/peer-loads.js';
 import { fleetDigestSchema } from '../../src/peers/peer-messages.js';
 import { PeerTable } from '../../src/peers/peer-table.js';
-import { StoreAnswers } from '../../src/peers/store-answers.js';
+import { StoreConfirmations } from '../../src/peers/store-confirmations.js';
 import {
   hostChange,
-  keepEvents,
+  captureEvents,
   makeHostRecord,
   makeRoutingState,
   makeAccountDuty,
@@ -19,7 +19,7 @@
 /** A relay, `host-1`, that hears `host-2` and not `host-3`. */
 function makeWriter() {
   const clock = new FakeClock();
-  const { log } = keepEvents();
+  const { log } = captureEvents();
   const view = new FleetView();
   const names = ['host-1', 'host-2', 'host-3'];
   view.replace(
@@ -27,8 +27,11 @@
     names.map((name) => hostChange(1, { name })),
   );
   const peers = new PeerTable(clock, log, () => 'first');
-  const status = { incarnation: 'first', leaving: false, busyShare: 0.2 };
-  peers.take({ ...status, name: 'host-2', sequence: 1, asked: { 'verdict-api': 0.25 } }, 'itself');
+  const status = { incarnation: 'first', leaving: false, utilization: 0.2 };
+  peers.update(
+    { ...status, name: 'host-2', sequence: 1, asked: { 'verdict-api': 0.25 } },
+    'itself',
+  );
   const writer = new MessageWriter({
     clock,
     view,
@@ -37,10 +40,10 @@
     accounts: makeAccountDuty(clock),
     limits: makeLimitDuty(clock, log),
     suspects: makeSuspectDuty(clock, log),
-    answers: new StoreAnswers(clock),
+    answers: new StoreConfirmations(clock),
     own: makeHostRecord({ name: 'host-1' }),
     isLeaving: () => false,
-    busyShare: () => 0.1,
+    utilization: () => 0.1,
     asked: () => ({ 'verdict-api': 0.5 }),
     storeAnsweredAt: () => -Infinity,
   });
@@ -60,14 +63,14 @@
 
   it('does not pass on what another relay tells of the whole', () => {
     const { peers, digest } = makeWriter();
-    peers.takeTold('another relay', { absent: new Set(), regions: new Map() });
-    expect(peers.takesCallers(makeHostRecord({ name: 'host-3' }))).toBe(true);
+    peers.updateFromFleet('another relay', { absent: new Set(), regions: new Map() });
+    expect(peers.isServing(makeHostRecord({ name: 'host-3' }))).toBe(true);
     expect([...digest().absent]).toEqual(['host-3 first']);
   });
 
   it('sums up what a region is busy with and asks for', () => {
     const told = makeWriter().digest().regions.get('jylland');
-    expect(told?.work).toBeCloseTo(0.5 * (0.1 + 0.2));
+    expect(told?.busyCores).toBeCloseTo(0.5 * (0.1 + 0.2));
     expect(told?.asked).toEqual({ 'verdict-api': 0.75 });
   });
 });
--- a/packages/entry/tests/peers/peer-exchange.test.ts
+++ b/packages/entry/tests/peers/peer-exchange.test.ts
@@ -5,12 +5,16 @@
 import { PeerClient } from '../../src/peers/peer-client.js';
 import { PeerExchange } from '../../src/peers/peer-exchange.js';
 import { PeerLoads } from '../../src/peers/peer-loads.js';
-import { DIGEST_METHOD, FLEET_METHOD, REPORT_METHOD } from '../../src/peers/peer-messages.js';
-import { PeerTable, SILENCE_MILLISECONDS } from '../../src/peers/peer-table.js';
-import { ReportSocket } from '../../src/peers/report-socket.js';
+import {
+  DOMAIN_DIGEST_METHOD,
+  FLEET_DIGEST_METHOD,
+  REPORT_METHOD,
+} from '../../src/peers/peer-messages.js';
+import { PeerTable, PEER_TIMEOUT_MILLISECONDS } from '../../src/peers/peer-table.js';
+import { UdpTransport } from '../../src/peers/udp-transport.js';
 import { ViewExchange } from '../../src/peers/view-exchange.js';
 import {
-  keepEvents,
+  captureEvents,
   makeHostRecord,
   makeRoutingState,
   targetChange,
@@ -21,7 +25,7 @@
 
 async function makeExchange() {
   const clock = new FakeClock();
-  const { log, events } = keepEvents();
+  const { log, events } = captureEvents();
   const view = new FleetView();
   const peers = new PeerTable(clock, log, () => undefined);
   const store = { answeredAt: -Infinity };
@@ -38,12 +42,12 @@
     accounts: makeAccountDuty(clock),
     limits: makeLimitDuty(clock, log),
     suspects: makeSuspectDuty(clock, log),
-    changes,
+    viewExchange: changes,
     storeAnsweredAt,
     isLeaving: () => false,
-    busyShare: () => 0,
+    utilization: () => 0,
     asked: () => ({}),
-    openDatagrams: (onMessage) => new ReportSocket(log, onMessage),
+    createTransport: (onMessage) => new UdpTransport(log, onMessage),
   });
   view.replace({ revision: 5 }, [targetChange(5)]);
   await clock.advance(1_000);
@@ -70,7 +74,7 @@
 
 function digestText(changes: Record<string, unknown> = {}): string {
   return JSON.stringify(
-    createJSONRPCNotification(DIGEST_METHOD, {
+    createJSONRPCNotification(DOMAIN_DIGEST_METHOD, {
       from: 'relay',
       controlAddress: '127.0.0.1:1',
       failureDomain: 'odense-hal',
@@ -85,7 +89,7 @@
 /** What a relay of this host's own domain tells it. */
 function fleetText(changes: Record<string, unknown> = {}): string {
   return JSON.stringify(
-    createJSONRPCNotification(FLEET_METHOD, {
+    createJSONRPCNotification(FLEET_DIGEST_METHOD, {
       from: 'relay',
       controlAddress: '127.0.0.1:1',
       absent: 'host-2 first',
@@ -101,37 +105,37 @@
 describe('PeerExchange', () => {
   it('takes all registered hosts for serving but those that a relay names', async () => {
     const { peers, exchange } = await makeExchange();
-    expect(peers.takesCallers(makeHostRecord({ name: 'host-1' }))).toBe(false);
-    exchange.takeDatagram(fleetText());
-    expect(peers.takesCallers(makeHostRecord({ name: 'host-1' }))).toBe(true);
-    expect(peers.takesCallers(makeHostRecord({ name: 'host-2' }))).toBe(false);
-    expect(peers.takesCallers(makeHostRecord({ name: 'host-2', incarnation: 'next' }))).toBe(true);
+    expect(peers.isServing(makeHostRecord({ name: 'host-1' }))).toBe(false);
+    exchange.handleDatagram(fleetText());
+    expect(peers.isServing(makeHostRecord({ name: 'host-1' }))).toBe(true);
+    expect(peers.isServing(makeHostRecord({ name: 'host-2' }))).toBe(false);
+    expect(peers.isServing(makeHostRecord({ name: 'host-2', incarnation: 'next' }))).toBe(true);
   });
 
   it('forgets what a relay told that fell silent', async () => {
     const { clock, peers, exchange } = await makeExchange();
-    exchange.takeDatagram(fleetText());
-    await clock.advance(SILENCE_MILLISECONDS + 1);
+    exchange.handleDatagram(fleetText());
+    await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
     peers.sweep();
-    expect(peers.takesCallers(makeHostRecord({ name: 'host-1' }))).toBe(false);
+    expect(peers.isServing(makeHostRecord({ name: 'host-1' }))).toBe(false);
   });
 
   it('hears what regions ask for exactly, also where that is less than one request a second', async () => {
     const { peers, exchange } = await makeExchange();
-    exchange.takeDatagram(fleetText());
-    expect(peers.toldDemand?.get('jylland')).toEqual({ 'verdict-api': 0.75 });
-    expect(peers.toldRegion('jylland')?.work).toBe(1.25);
+    exchange.handleDatagram(fleetText());
+    expect(peers.regionDemand?.get('jylland')).toEqual({ 'verdict-api': 0.75 });
+    expect(peers.regionSummary('jylland')?.busyCores).toBe(1.25);
   });
 
   it('takes a peer’s answer from the store as a confirmation of its own view', async () => {
     const { view, exchange } = await makeExchange();
-    exchange.takeDatagram(reportText(200));
+    exchange.handleDatagram(reportText(200));
     expect(view.confirmedAt).toBe(800);
   });
 
   it('takes an answer once, however often it is told', async () => {
     const { clock, view, exchange } = await makeExchange();
-    exchange.takeDatagram(reportText(200));
+    exchange.handleDatagram(reportText(200));
     await clock.advance(500);
     const { inFlight, lastChange, storeAnswer } = {
       inFlight: '',
@@ -144,27 +148,27 @@
         ageMilliseconds: 200,
       },
     };
-    exchange.takeDatagram(digestText({ inFlight, lastChange, storeAnswer }));
+    exchange.handleDatagram(digestText({ inFlight, lastChange, storeAnswer }));
     expect(view.confirmedAt).toBe(800);
   });
 
   it('does not take a confirmation of changes that it lacks', async () => {
     const { view, exchange } = await makeExchange();
-    exchange.takeDatagram(reportText(200, 6));
+    exchange.handleDatagram(reportText(200, 6));
     expect(view.confirmedAt).toBe(-Infinity);
   });
 
   it('takes the changes that a digest carries', async () => {
     const { view, exchange, events } = await makeExchange();
     const news = { afterRevision: 5, revision: 6, changes: [targetChange(6, { id: 'new' })] };
-    exchange.takeDatagram(digestText({ lastChange: 6, news }));
+    exchange.handleDatagram(digestText({ lastChange: 6, news }));
     expect(view.lastChange).toEqual({ epoch: 0, revision: 6 });
     expect(events.at(-1)).toMatchObject({ event: 'view', source: 'relay', revision: 6 });
   });
 
   it('hears of the hosts of another domain from its relay', async () => {
     const { peers, exchange } = await makeExchange();
-    exchange.takeDatagram(digestText());
+    exchange.handleDatagram(digestText());
     expect(peers.alive.map(({ name, leaving }) => [name, leaving])).toEqual([
       ['relay', false],
       ['member', true],
@@ -175,7 +179,7 @@
     const { clock, state, exchange } = await makeExchange();
     const [service] = [...state.services];
     const [target] = [...(service?.targets.values() ?? [])];
-    exchange.takeDatagram(digestText({ inFlight: `${target?.id}\t3` }));
+    exchange.handleDatagram(digestText({ inFlight: `${target?.id}\t3` }));
     expect(target?.load(clock.now())).toBe(3);
   });
 
@@ -184,14 +188,14 @@
     const [service] = [...state.services];
     const [target] = [...(service?.targets.values() ?? [])];
     const id = target?.id ?? '';
-    exchange.takeDatagram(reportText(200, 5, { sequence: 5, inFlight: `${id}\t1` }));
-    exchange.takeDatagram(reportText(200, 5, { sequence: 4, inFlight: `${id}\t9` }));
+    exchange.handleDatagram(reportText(200, 5, { sequence: 5, inFlight: `${id}\t1` }));
+    exchange.handleDatagram(reportText(200, 5, { sequence: 4, inFlight: `${id}\t9` }));
     expect(target?.load(clock.now())).toBe(1);
   });
 
   it('does not pass on, in answers to calls, what only others were answered', async () => {
     const { exchange, changes } = await makeExchange();
-    exchange.takeDatagram(reportText(200));
+    exchange.handleDatagram(reportText(200));
     expect(changes.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBeUndefined();
   });
 
@@ -213,8 +217,8 @@
 
   it('says what is wrong with a message that it does not understand, and goes on', async () => {
     const { peers, exchange } = await makeExchange();
-    exchange.takeDatagram('{"method":"entry.report","params":{}}');
-    exchange.takeDatagram('no JSON');
+    exchange.handleDatagram('{"method":"entry.report","params":{}}');
+    exchange.handleDatagram('no JSON');
     expect(peers.alive).toEqual([]);
   });
 });
--- a/packages/entry/tests/peers/peer-loads.test.ts
+++ b/packages/entry/tests/peers/peer-loads.test.ts
@@ -2,12 +2,12 @@
 import { describe, expect, it } from 'vitest';
 import { FleetView } from '../../src/index.js';
 import { PeerLoads } from '../../src/peers/peer-loads.js';
-import { SILENCE_MILLISECONDS } from '../../src/peers/peer-table.js';
-import { keepEvents, makeRoutingState, targetChange } from '../fixtures.js';
+import { PEER_TIMEOUT_MILLISECONDS } from '../../src/peers/peer-table.js';
+import { captureEvents, makeRoutingState, targetChange } from '../fixtures.js';
 
 function makeLoads() {
   const clock = new FakeClock();
-  const { log } = keepEvents();
+  const { log } = captureEvents();
   const view = new FleetView();
   const state = makeRoutingState(clock, view, log);
   view.replace({ revision: 1 }, [targetChange(1, { id: 'a' }), targetChange(1, { id: 'b' })]);
@@ -31,46 +31,46 @@
 describe('PeerLoads', () => {
   it('adds what the sources tell of a target, the last of each', () => {
     const { loads, target, clock } = makeLoads();
-    loads.take('host h1', { a: 2, b: 1 });
-    loads.take('domain d1', { a: 3 });
-    loads.take('host h1', { a: 1 });
+    loads.update('host h1', { a: 2, b: 1 });
+    loads.update('domain d1', { a: 3 });
+    loads.update('host h1', { a: 1 });
     expect(target('a').load(clock.now())).toBe(4);
     expect(target('b').load(clock.now())).toBe(0);
   });
 
   it('counts what is told of a target’s present start, and nothing of a former one', () => {
     const { clock, loads, target, reborn } = makeLoads();
-    loads.take('host h1', { a: 2 });
+    loads.update('host h1', { a: 2 });
     reborn('a');
     expect(target('a').load(clock.now())).toBe(0);
-    loads.take('host h1', { a: 2, [target('a').start]: 1 });
+    loads.update('host h1', { a: 2, [target('a').incarnationId]: 1 });
     expect(target('a').load(clock.now())).toBe(1);
     target('a').inFlight = 3;
-    expect(loads.report(1)).toEqual({ [target('a').start]: 3 });
+    expect(loads.recordReport(1)).toEqual({ [target('a').incarnationId]: 3 });
   });
 
   it('leaves its own part out of what is told of the whole fleet', () => {
     const { loads, target, clock } = makeLoads();
     target('a').inFlight = 2;
-    loads.report(7);
+    loads.recordReport(7);
     target('a').inFlight = 5;
-    loads.report(8);
-    loads.takeFleet('fleet', { a: 6, b: 1 }, 7);
+    loads.recordReport(8);
+    loads.updateFromFleet('fleet', { a: 6, b: 1 }, 7);
     expect(target('a').load(clock.now())).toBe(5 + 4);
     expect(target('b').load(clock.now())).toBe(1);
   });
 
   it('counts nothing twice when it begins to hear of the whole fleet', () => {
     const { loads, target, clock } = makeLoads();
-    loads.take('host h1', { a: 2 });
-    loads.takeFleet('fleet', { a: 3 }, 0);
+    loads.update('host h1', { a: 2 });
+    loads.updateFromFleet('fleet', { a: 3 }, 0);
     expect(target('a').load(clock.now())).toBe(3);
   });
 
   it('forgets what a source told that fell silent', async () => {
     const { clock, loads, target } = makeLoads();
-    loads.take('host h1', { a: 2 });
-    await clock.advance(SILENCE_MILLISECONDS + 1);
+    loads.update('host h1', { a: 2 });
+    await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
     loads.sweep();
     expect(target('a').load(clock.now())).toBe(0);
   });
@@ -78,13 +78,13 @@
   it('leaves out targets that have little to do, by their slots', () => {
     const { loads, target } = makeLoads();
     expect(target('a').record.slots).toBe(6);
-    expect(loads.onlyBusy({ a: 3, b: 2 })).toEqual({ a: 3 });
+    expect(loads.withoutIdle({ a: 3, b: 2 })).toEqual({ a: 3 });
   });
 
   it('sums the sources of a kind', () => {
     const { loads } = makeLoads();
-    loads.take('host h1', { a: 2 });
-    loads.take('domain d1', { a: 3, b: 1 });
+    loads.update('host h1', { a: 2 });
+    loads.update('domain d1', { a: 3, b: 1 });
     const isHost = (source: string): boolean => source.startsWith('host');
     expect(loads.sum(isHost, { b: 4 })).toEqual({ a: 2, b: 4 });
     expect(loads.sum(() => true, { b: 4 })).toEqual({ a: 5, b: 5 });
--- a/packages/entry/tests/peers/peer-table.test.ts
+++ b/packages/entry/tests/peers/peer-table.test.ts
@@ -1,8 +1,8 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
 import type { HostStatus } from '../../src/peers/host-status.js';
-import { PeerTable, SILENCE_MILLISECONDS } from '../../src/peers/peer-table.js';
-import { keepEvents, makeHostRecord } from '../fixtures.js';
+import { PeerTable, PEER_TIMEOUT_MILLISECONDS } from '../../src/peers/peer-table.js';
+import { captureEvents, makeHostRecord } from '../fixtures.js';
 
 function makeStatus(changes: Partial<HostStatus> = {}): HostStatus {
   return {
@@ -10,7 +10,7 @@
     incarnation: 'first',
     sequence: 1,
     leaving: false,
-    busyShare: 0,
+    utilization: 0,
     asked: {},
     ...changes,
   };
@@ -18,15 +18,15 @@
 
 function makeTable(registered = 'first') {
   const clock = new FakeClock();
-  const { log, events } = keepEvents();
+  const { log, events } = captureEvents();
   return { clock, events, table: new PeerTable(clock, log, () => registered) };
 }
 
 describe('PeerTable', () => {
   it('drops a peer that falls silent, and says so', async () => {
     const { clock, table, events } = makeTable();
-    table.take(makeStatus(), 'itself');
-    await clock.advance(SILENCE_MILLISECONDS + 1);
+    table.update(makeStatus(), 'itself');
+    await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
     table.sweep();
     expect(table.alive).toEqual([]);
     expect(table.get('host-1')).toBeUndefined();
@@ -36,26 +36,26 @@
 
   it.each(['itself', 'another'] as const)('ignores a status from %s that is not newer', (from) => {
     const { table } = makeTable();
-    table.take(makeStatus({ sequence: 5 }), 'itself');
-    expect(table.take(makeStatus({ sequence: 5, leaving: true }), from)).toBe(false);
+    table.update(makeStatus({ sequence: 5 }), 'itself');
+    expect(table.update(makeStatus({ sequence: 5, leaving: true }), from)).toBe(false);
     expect(table.get('host-1')?.leaving).toBe(false);
   });
 
   it('does not bring a silent peer back by what others still tell of it', async () => {
     const { clock, table } = makeTable();
-    table.take(makeStatus({ sequence: 5 }), 'itself');
-    await clock.advance(SILENCE_MILLISECONDS + 1);
+    table.update(makeStatus({ sequence: 5 }), 'itself');
+    await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
     table.sweep();
-    expect(table.take(makeStatus({ sequence: 5 }), 'another')).toBe(false);
+    expect(table.update(makeStatus({ sequence: 5 }), 'another')).toBe(false);
     expect(table.alive).toEqual([]);
-    expect(table.take(makeStatus({ sequence: 6 }), 'another')).toBe(true);
+    expect(table.update(makeStatus({ sequence: 6 }), 'another')).toBe(true);
     expect(table.alive).toHaveLength(1);
   });
 
   it('takes a restarted peer’s first report', () => {
     const { table } = makeTable();
-    table.take(makeStatus({ sequence: 500 }), 'itself');
-    table.take(makeStatus({ incarnation: 'second', sequence: 1 }), 'itself');
+    table.update(makeStatus({ sequence: 500 }), 'itself');
+    table.update(makeStatus({ incarnation: 'second', sequence: 1 }), 'itself');
     expect(table.get('host-1')?.incarnation).toBe('second');
   });
 
@@ -64,9 +64,9 @@
     ['second', 'second'],
   ])('believes others of another start only if it is registered: known %s', (known, expected) => {
     const { table } = makeTable('second');
-    table.take(makeStatus({ incarnation: known, sequence: 9 }), 'itself');
+    table.update(makeStatus({ incarnation: known, sequence: 9 }), 'itself');
     const other = known === 'first' ? 'second' : 'first';
-    table.take(makeStatus({ incarnation: other, sequence: 50 }), 'another');
+    table.update(makeStatus({ incarnation: other, sequence: 50 }), 'another');
     expect(table.get('host-1')?.incarnation).toBe(expected);
   });
 
@@ -77,7 +77,7 @@
     ['one that is not heard from', { name: 'host-2' }, false],
   ])('sends callers to a host where reports are of %s: %o', (_case, changes, expected) => {
     const { table } = makeTable();
-    table.take(makeStatus(changes), 'itself');
-    expect(table.takesCallers(makeHostRecord())).toBe(expected);
+    table.update(makeStatus(changes), 'itself');
+    expect(table.isServing(makeHostRecord())).toBe(expected);
   });
 });
--- a/packages/entry/tests/peers/relay-plan.test.ts
+++ b/packages/entry/tests/peers/relay-plan.test.ts
@@ -2,9 +2,9 @@
 import { describe, expect, it } from 'vitest';
 import type { EntryHostRecord } from '../../src/index.js';
 import { FleetView } from '../../src/index.js';
-import { PeerTable, SILENCE_MILLISECONDS } from '../../src/peers/peer-table.js';
+import { PeerTable, PEER_TIMEOUT_MILLISECONDS } from '../../src/peers/peer-table.js';
 import { RelayPlan } from '../../src/peers/relay-plan.js';
-import { hostChange, keepEvents } from '../fixtures.js';
+import { hostChange, captureEvents } from '../fixtures.js';
 
 interface PlannedFleet {
   readonly domains: number;
@@ -31,7 +31,7 @@
 
 function makePlan(fleet: PlannedFleet, ownName: string) {
   const clock = new FakeClock();
-  const { log } = keepEvents();
+  const { log } = captureEvents();
   const view = new FleetView();
   const hosts = makeHosts(fleet);
   view.replace(
@@ -48,8 +48,8 @@
   const hear = (isHeard: (name: string) => boolean): void => {
     for (const { name, incarnation } of records.filter((host) => isHeard(host.name))) {
       const sequence = (peers.get(name)?.sequence ?? 0) + 1;
-      peers.take(
-        { name, incarnation, sequence, leaving: false, busyShare: 0, asked: {} },
+      peers.update(
+        { name, incarnation, sequence, leaving: false, utilization: 0, asked: {} },
         'itself',
       );
     }
@@ -60,7 +60,7 @@
 /** Waits until every host has either been heard just now or counts as silent. */
 async function settle({ clock, peers, plan, hear }: ReturnType<typeof makePlan>, dead: string[]) {
   plan.recipients(false);
-  await clock.advance(SILENCE_MILLISECONDS + 1);
+  await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
   hear((name) => !dead.includes(name));
   peers.sweep();
 }
@@ -68,7 +68,12 @@
 /** The plan's recipients, members and foreign relays each as a whole. */
 function recipientsOf(plan: RelayPlan, isUrgent: boolean) {
   const recipients = plan.recipients(isUrgent);
-  const { askingMembers, quietMembers, nearRelays, farRelays } = recipients;
+  const {
+    activeMembers: askingMembers,
+    idleMembers: quietMembers,
+    sameRegionRelays: nearRelays,
+    otherRegionRelays: farRelays,
+  } = recipients;
   return {
     ...recipients,
     members: [...askingMembers, ...quietMembers],
@@ -82,7 +87,12 @@
   it('has a member report to the two hosts of its domain that carry most', async () => {
     const fleet = makePlan({ domains: 3, hostsPerDomain: 5 }, 'd0-h0');
     await settle(fleet, []);
-    const { isRelay, reports, members, foreignRelays } = recipientsOf(fleet.plan, true);
+    const {
+      isRelay,
+      reportRecipients: reports,
+      members,
+      foreignRelays,
+    } = recipientsOf(fleet.plan, true);
     expect(isRelay).toBe(false);
     expect(names(reports)).toEqual(['d0-h3', 'd0-h4']);
     expect([...members, ...foreignRelays]).toEqual([]);
@@ -91,7 +101,12 @@
   it('has a relay tell its members and the other domains’ relays', async () => {
     const fleet = makePlan({ domains: 3, hostsPerDomain: 5 }, 'd0-h4');
     await settle(fleet, []);
-    const { isRelay, reports, members, foreignRelays } = recipientsOf(fleet.plan, true);
+    const {
+      isRelay,
+      reportRecipients: reports,
+      members,
+      foreignRelays,
+    } = recipientsOf(fleet.plan, true);
     expect(isRelay).toBe(true);
     expect(names(reports)).toEqual(['d0-h3']);
     expect(names(members)).toEqual(['d0-h0', 'd0-h1', 'd0-h2']);
@@ -131,7 +146,7 @@
   it('replaces a relay that falls silent, at home and elsewhere', async () => {
     const fleet = makePlan({ domains: 2, hostsPerDomain: 3 }, 'd0-h1');
     await settle(fleet, ['d0-h2', 'd1-h2']);
-    const { reports, foreignRelays } = recipientsOf(fleet.plan, true);
+    const { reportRecipients: reports, foreignRelays } = recipientsOf(fleet.plan, true);
     expect(names(reports)).toEqual(['d0-h0']);
     expect(names(foreignRelays)).toEqual(['d1-h0', 'd1-h1']);
   });
@@ -145,7 +160,7 @@
 
   it('tells its whole domain while it hears nobody there', () => {
     const { plan } = makePlan({ domains: 2, hostsPerDomain: 4 }, 'd0-h0');
-    expect(names(recipientsOf(plan, false).reports)).toEqual(['d0-h1', 'd0-h2', 'd0-h3']);
+    expect(names(recipientsOf(plan, false).reportRecipients)).toEqual(['d0-h1', 'd0-h2', 'd0-h3']);
   });
 
   it('tells members that have requests apart from those that have none', async () => {
@@ -155,9 +170,10 @@
     expect(asking).toBeDefined();
     if (asking !== undefined) {
       const asked = { 'verdict-api': 0.5 };
-      fleet.peers.take({ ...asking, sequence: asking.sequence + 1, asked }, 'itself');
+      fleet.peers.update({ ...asking, sequence: asking.sequence + 1, asked }, 'itself');
     }
-    const { askingMembers, quietMembers } = fleet.plan.recipients(false);
+    const { activeMembers: askingMembers, idleMembers: quietMembers } =
+      fleet.plan.recipients(false);
     expect(names(askingMembers)).toEqual(['d0-h1']);
     expect(names(quietMembers)).toEqual(['d0-h0', 'd0-h2']);
   });
@@ -166,7 +182,8 @@
     const regions = { d0: 'jylland', d1: 'jylland', d2: 'fyn' };
     const fleet = makePlan({ domains: 3, hostsPerDomain: 3, regions }, 'd0-h2');
     await settle(fleet, []);
-    const { nearRelays, farRelays } = fleet.plan.recipients(true);
+    const { sameRegionRelays: nearRelays, otherRegionRelays: farRelays } =
+      fleet.plan.recipients(true);
     expect(names(nearRelays)).toEqual(['d1-h1', 'd1-h2']);
     expect(names(farRelays)).toEqual(['d2-h1', 'd2-h2']);
   });
@@ -177,7 +194,7 @@
     for (const own of ['d0-h0', 'd0-h14']) {
       const fleet = makePlan(size, own);
       await settle(fleet, []);
-      const { reports, members, foreignRelays } = recipientsOf(fleet.plan, true);
+      const { reportRecipients: reports, members, foreignRelays } = recipientsOf(fleet.plan, true);
       counts.push(reports.length + members.length + foreignRelays.length);
     }
     expect(counts).toEqual([2, 1 + 13 + 10]);
--- a/packages/entry/tests/peers/rows.test.ts
+++ b/packages/entry/tests/peers/rows.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { encodeStatuses, hostStatusesSchema } from '../../src/peers/host-status.js';
-import { encodeInFlight, inFlightSchema } from '../../src/peers/in-flight.js';
+import { encodeInFlightCounts, inFlightCountsSchema } from '../../src/peers/in-flight.js';
 
 describe('hosts’ statuses as text', () => {
   it('come back as they were', () => {
@@ -10,7 +10,7 @@
         incarnation: 'first',
         sequence: 12,
         leaving: false,
-        busyShare: 0.25,
+        utilization: 0.25,
         asked: { 'verdict-api': 12, 'sorter-gate': 3 },
       },
       {
@@ -18,7 +18,7 @@
         incarnation: 'a;b',
         sequence: 1,
         leaving: true,
-        busyShare: 1,
+        utilization: 1,
         asked: {},
       },
     ];
@@ -37,11 +37,11 @@
 describe('requests at targets as text', () => {
   it('come back as they were', () => {
     const inFlight = { 'i-1': 3, 'i-2': 11 };
-    expect(inFlightSchema.parse(encodeInFlight(inFlight))).toEqual(inFlight);
-    expect(inFlightSchema.parse(encodeInFlight({}))).toEqual({});
+    expect(inFlightCountsSchema.parse(encodeInFlightCounts(inFlight))).toEqual(inFlight);
+    expect(inFlightCountsSchema.parse(encodeInFlightCounts({}))).toEqual({});
   });
 
   it('are refused where a count is none', () => {
-    expect(inFlightSchema.safeParse('i-1\t2\ni-2').success).toBe(false);
+    expect(inFlightCountsSchema.safeParse('i-1\t2\ni-2').success).toBe(false);
   });
 });
--- a/packages/entry/tests/peers/suspect-rows.test.ts
+++ b/packages/entry/tests/peers/suspect-rows.test.ts
@@ -4,12 +4,12 @@
 const SUSPECTS = [
   {
     fingerprint: 'one',
-    ends: [
-      { target: 'a', ageMilliseconds: 0, answers: 0 },
-      { target: 'b', ageMilliseconds: 61_200, answers: 1 },
+    crashes: [
+      { target: 'a', ageMilliseconds: 0, responses: 0 },
+      { target: 'b', ageMilliseconds: 61_200, responses: 1 },
     ],
   },
-  { fingerprint: 'two', ends: [{ target: 'a', ageMilliseconds: 300, answers: 0 }] },
+  { fingerprint: 'two', crashes: [{ target: 'a', ageMilliseconds: 300, responses: 0 }] },
 ];
 
 describe('suspects as rows of text', () => {
@@ -20,8 +20,8 @@
 
   it('take some 40 bytes for a request at one target', () => {
     const fingerprint = '0a1b2c3'.padEnd(27, 'x');
-    const ends = [{ target: 'i-4d8ec641ab', ageMilliseconds: 2_000, answers: 0 }];
-    expect(encodeSuspects([{ fingerprint, ends }]).length).toBeLessThan(48);
+    const ends = [{ target: 'i-4d8ec641ab', ageMilliseconds: 2_000, responses: 0 }];
+    expect(encodeSuspects([{ fingerprint, crashes: ends }]).length).toBeLessThan(48);
   });
 
   it.each([
@@ -31,7 +31,7 @@
     ['half an end', 'one\tb\t3\t0\ta\t1'],
   ])('pass an end over that has %s', (_case, text) => {
     expect(suspectsSchema.parse(text)).toEqual([
-      { fingerprint: 'one', ends: [{ target: 'b', ageMilliseconds: 300, answers: 0 }] },
+      { fingerprint: 'one', crashes: [{ target: 'b', ageMilliseconds: 300, responses: 0 }] },
     ]);
   });
 });
--- a/packages/entry/tests/request/body-reader.test.ts
+++ b/packages/entry/tests/request/body-reader.test.ts
@@ -37,21 +37,21 @@
 test('reads a body with a length', async () => {
   const bodies = new BodyReader(clock, HELD_BYTES);
   const request = await receive('content-length: 4', 'abcd');
-  const body = await bodies.read(request, { mostBytes: 4, endAt: Infinity });
+  const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.unwrap()?.toString()).toBe('abcd');
 });
 
 test('there is no body without a length and chunks', async () => {
   const bodies = new BodyReader(clock, HELD_BYTES);
   const request = await receive('accept: a/b', '');
-  const body = await bodies.read(request, { mostBytes: 4, endAt: Infinity });
+  const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.unwrap()).toBeUndefined();
 });
 
 test('does not wait past its end for a body that comes slowly', async () => {
   const bodies = new BodyReader(clock, HELD_BYTES);
   const request = await receive('content-length: 4', 'ab');
-  const reading = bodies.read(request, { mostBytes: 4, endAt: clock.now() + 800 });
+  const reading = bodies.read(request, { maxBytes: 4, deadlineAt: clock.now() + 800 });
   await clock.advance(800);
   const body = await reading;
   expect(body.isErr() && body.error).toBe('too-late');
@@ -60,13 +60,13 @@
 test('a body that was given up holds no bytes', async () => {
   const bodies = new BodyReader(clock, 4);
   const slow = await receive('content-length: 4', 'ab');
-  const reading = bodies.read(slow, { mostBytes: 4, endAt: clock.now() + 800 });
+  const reading = bodies.read(slow, { maxBytes: 4, deadlineAt: clock.now() + 800 });
   await clock.advance(800);
   await reading;
   caller.destroy();
   caller = connect((server.address() as AddressInfo).port, '127.0.0.1');
   const next = await receive('content-length: 4', 'abcd');
-  const body = await bodies.read(next, { mostBytes: 4, endAt: Infinity });
+  const body = await bodies.read(next, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.unwrap()?.toString()).toBe('abcd');
 });
 
@@ -76,21 +76,21 @@
 ])('refuses more bytes than are allowed by $name', async ({ headers, bytes }) => {
   const bodies = new BodyReader(clock, HELD_BYTES);
   const request = await receive(headers, bytes);
-  const body = await bodies.read(request, { mostBytes: 4, endAt: Infinity });
+  const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.isErr() && body.error).toBe('too-large');
 });
 
 test('refuses a body where all bodies together would hold too much', async () => {
   const bodies = new BodyReader(clock, 3);
   const request = await receive('content-length: 4', 'abcd');
-  const body = await bodies.read(request, { mostBytes: 4, endAt: Infinity });
+  const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.isErr() && body.error).toBe('too-many-bytes-held');
 });
 
 test('tells that the caller left in the middle of its body', async () => {
   const bodies = new BodyReader(clock, HELD_BYTES);
   const request = await receive('content-length: 4', 'ab');
-  const reading = bodies.read(request, { mostBytes: 4, endAt: Infinity });
+  const reading = bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   caller.destroy();
   const body = await reading;
   expect(body.isErr() && body.error).toBe('caller-gone');
--- a/packages/entry/tests/request/request-progress.test.ts
+++ b/packages/entry/tests/request/request-progress.test.ts
@@ -48,28 +48,28 @@
     ['repeatable', answered(404), 'deliver'],
     ['repeatable', answered(200), 'deliver'],
   ] as const)('after a %s request got %o does %s', (kind, verdict, next) => {
-    expect(makeProgress(kind).take(verdict)).toBe(next);
+    expect(makeProgress(kind).recordVerdict(verdict)).toBe(next);
   });
 
   it('sends to no more targets than the route allows', () => {
     const progress = makeProgress('repeatable', 2);
-    expect(progress.take(refused)).toBe('try-again-if-allowed');
-    expect(progress.take(refused)).toBe('give-up');
+    expect(progress.recordVerdict(refused)).toBe('try-again-if-allowed');
+    expect(progress.recordVerdict(refused)).toBe('give-up');
   });
 
   it('does not count targets that could not be reached as attempts, but tries only a few', () => {
     const progress = makeProgress('once', 2);
-    expect(progress.take(unreachable)).toBe('try-again');
-    expect(progress.take(unreachable)).toBe('try-again');
-    expect(progress.take(unreachable)).toBe('give-up');
+    expect(progress.recordVerdict(unreachable)).toBe('try-again');
+    expect(progress.recordVerdict(unreachable)).toBe('try-again');
+    expect(progress.recordVerdict(unreachable)).toBe('give-up');
     expect(progress.attempts).toBe(0);
     expect(statusAfter(progress)).toBe(503);
   });
 
   it('never says that nothing ran once something may have', () => {
     const progress = makeProgress('repeatable', 3);
-    progress.take(broken);
-    progress.take(refused);
+    progress.recordVerdict(broken);
+    progress.recordVerdict(refused);
     const { outcome } = progress;
     expect(outcome).toMatchObject({ ran: 'unknown' });
     expect(statusAfter(progress)).toBe(502);
@@ -84,31 +84,31 @@
   ] as const)('at the deadline where %s tells the truth', (_case, verdict, status, ran) => {
     const progress = makeProgress('repeatable');
     if (verdict !== undefined) {
-      progress.take(verdict);
+      progress.recordVerdict(verdict);
     }
-    progress.endedBy = 'deadline';
+    progress.cancelledBy = 'deadline';
     expect(progress.outcome).toMatchObject({ ran });
     expect(statusAfter(progress)).toBe(status);
   });
 
   it('passes a target’s failure on where no other target does better', () => {
     const progress = makeProgress('repeatable');
-    progress.take(answered(500));
-    progress.take(refused);
+    progress.recordVerdict(answered(500));
+    progress.recordVerdict(refused);
     expect(statusAfter(progress)).toBe(500);
   });
 
   it('says that nothing ran of a request that is turned away before its first send', () => {
     const progress = makeProgress('repeatable');
-    progress.turnAway();
+    progress.rejectSuspect();
     expect(progress.outcome).toMatchObject({ reason: 'targets-end', ran: 'no' });
     expect(statusAfter(progress)).toBe(503);
   });
 
   it('does not say so of one that is turned away after a target ended under it', () => {
     const progress = makeProgress('repeatable', 3);
-    progress.take(broken);
-    progress.turnAway();
+    progress.recordVerdict(broken);
+    progress.rejectSuspect();
     expect(progress.outcome).toMatchObject({ reason: 'target-failed', ran: 'unknown' });
     expect(statusAfter(progress)).toBe(502);
   });
--- a/packages/entry/tests/request/rest-header.test.ts
+++ b/packages/entry/tests/request/retry-after.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { readRest } from '../../src/index.js';
+import { parseRetryAfter } from '../../src/index.js';
 
 describe('readRest', () => {
   it.each([
@@ -15,6 +15,6 @@
     ['Thu, 03 Dec 2026 03:42:51 GMT', Number.NaN],
     [undefined, undefined],
   ])('reads %j as %d ms', (header, milliseconds) => {
-    expect(readRest(header)).toEqual(milliseconds);
+    expect(parseRetryAfter(header)).toEqual(milliseconds);
   });
 });
--- a/packages/entry/tests/request/target-client.test.ts
+++ b/packages/entry/tests/request/target-client.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import type { SendOutcome, TargetRequest } from '../../src/request/target-client.js';
-import { SendUnwanted, TargetClient } from '../../src/request/target-client.js';
+import { SendNotAllowed, TargetClient } from '../../src/request/target-client.js';
 
 const HEAD = 'HTTP/1.1 200 OK\r\n';
 
@@ -37,9 +37,9 @@
       path: '/',
       headers: {},
       body: undefined,
-      isAlone: false,
-      isWanted: () => true,
-      examine: () => undefined,
+      usesOwnConnection: false,
+      isStillAllowed: () => true,
+      checkHead: () => undefined,
       ...changes,
     }).outcome;
   }
@@ -56,10 +56,10 @@
         requests++;
         socket.end(`${HEAD}content-length: 0\r\n\r\n`);
       },
-      { isWanted: () => false },
+      { isStillAllowed: () => false },
     );
     expect(outcome.kind).toBe('not-sent');
-    expect(outcome.kind === 'not-sent' && outcome.error).toBeInstanceOf(SendUnwanted);
+    expect(outcome.kind === 'not-sent' && outcome.error).toBeInstanceOf(SendNotAllowed);
     expect(requests).toBe(0);
   });
 
@@ -84,7 +84,7 @@
           });
           socket.write(`${HEAD}content-length: 0\r\n\r\n`);
         },
-        { examine: () => new Error('stray') },
+        { checkHead: () => new Error('stray') },
       ).then(({ kind }) => {
         expect(kind).toBe('broken');
       });
@@ -99,9 +99,9 @@
       path: '/',
       headers: {},
       body: undefined,
-      isAlone: false,
-      isWanted: () => true,
-      examine: () => undefined,
+      usesOwnConnection: false,
+      isStillAllowed: () => true,
+      checkHead: () => undefined,
     }).outcome;
     expect(outcome.kind).toBe('not-sent');
     server = await startTarget(() => undefined);
@@ -118,9 +118,9 @@
       path: '/',
       headers: {},
       body: undefined,
-      isAlone: true,
-      isWanted: () => true,
-      examine: () => undefined,
+      usesOwnConnection: true,
+      isStillAllowed: () => true,
+      checkHead: () => undefined,
     };
     await client.send(request).outcome;
     await client.send(request).outcome;
--- a/packages/entry/tests/request/target-send.test.ts
+++ b/packages/entry/tests/request/target-send.test.ts
@@ -1,12 +1,17 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import { NO_LIMITS, NOTHING_LEFT_OUT, OverflowAllowance, ServiceTargets } from '@ferrylock/routing';
+import {
+  NO_LIMITS,
+  NO_DISABLED_MECHANISMS,
+  OverflowBudget,
+  ServiceTargets,
+} from '@ferrylock/routing';
 import { FakeClock, makeRoute, makeTargetRecord } from '@ferrylock/test-utils';
 import { silentLogger } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { EventLog, TargetWords } from '../../src/index.js';
-import type { AnswerFacts, HeaderDialect } from '../../src/index.js';
+import { EventLog, TargetSignalRecorder } from '../../src/index.js';
+import type { ResponseMetadata, HeaderCodec } from '../../src/index.js';
 import type { RoutedExchange } from '../../src/request/caller-exchange.js';
-import type { Send, SendOutcome, TargetRequest } from '../../src/request/target-client.js';
+import type { SendHandle, SendOutcome, TargetRequest } from '../../src/request/target-client.js';
 import { SendCancelled } from '../../src/request/target-client.js';
 import { TargetSend } from '../../src/request/target-send.js';
 import type { TargetSendOptions } from '../../src/request/target-send.js';
@@ -19,7 +24,7 @@
 const WAY_AND_BACK_MILLISECONDS = 75;
 const REST_MILLISECONDS = 3_000;
 
-const FACTS: AnswerFacts = {
+const FACTS: ResponseMetadata = {
   requestId: 'request-1',
   isNotRun: false,
   isOtherTarget: false,
@@ -33,14 +38,14 @@
 };
 
 const dialect = {
-  callerHeaders: new Set<string>(),
-  instruct: () => ({}),
-  readAnswer: (status: number) =>
+  consumedHeaders: new Set<string>(),
+  encodeForward: () => ({}),
+  decodeResponse: (status: number) =>
     status === 503 ? { ...FACTS, isNotRun: true, restMilliseconds: REST_MILLISECONDS } : FACTS,
-} satisfies Partial<HeaderDialect>;
+} satisfies Partial<HeaderCodec>;
 
 /** A send whose course the test decides. */
-class EmulatedSend implements Send {
+class EmulatedSend implements SendHandle {
   readonly outcome: Promise<SendOutcome>;
   cancelledAt: number | undefined;
   startedAt: number | undefined;
@@ -67,7 +72,7 @@
 
   turnAway(): void {
     const headers: IncomingHttpHeaders = {};
-    this.request.examine(503, headers);
+    this.request.checkHead(503, headers);
     this.#settle({
       kind: 'answered',
       answer: { status: 503, headers, body: Buffer.alloc(0), isDelimited: true },
@@ -80,23 +85,23 @@
   const bound = { share: 0.15, windowMilliseconds: 2_000 };
   const service = new ServiceTargets('verdict-api', {
     clock,
-    overflows: new OverflowAllowance({ clock, bound, ownName: 'host-1' }),
-    retryBound: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
+    overflows: new OverflowBudget({ clock, bound, ownName: 'host-1' }),
+    retryBudget: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
     regionOf: (failureDomain) => failureDomain,
     ownRegion: 'jylland',
     isEvacuated: () => false,
-    shiftBound: bound,
+    regionShiftLimit: bound,
     limits: NO_LIMITS,
-    leftOut: NOTHING_LEFT_OUT,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   const record = makeTargetRecord();
   service.put(record);
-  service.roundTrips.record(record.failureDomain, WAY_AND_BACK_MILLISECONDS);
+  service.roundTripTimes.record(record.failureDomain, WAY_AND_BACK_MILLISECONDS);
   const target = service.targets.get(record.id);
   if (target === undefined) {
     throw new Error('expected a target');
   }
-  target.word.limit.record(limitPerSecond, { sentAt: 0, now: 0 });
+  target.signals.limit.record(limitPerSecond, { sentAt: 0, now: 0 });
   /** What is asked of the target's limit. */
   const given: ('asked' | 'back')[] = [];
   const sends: EmulatedSend[] = [];
@@ -105,9 +110,9 @@
     request: { method: 'GET', headers: {} },
     path: '/verdicts/1',
     requestId: 'request-1',
-    demand: {},
+    metadata: {},
     route: makeRoute(),
-    endAt: 2_500,
+    deadlineAt: 2_500,
   };
   const options = {
     clock,
@@ -119,17 +124,17 @@
         return send;
       },
     },
-    words: new TargetWords({ clock, events, onLimit: () => undefined }),
+    signalRecorder: new TargetSignalRecorder({ clock, events, onLimitChange: () => undefined }),
     limits: {
-      take: () => {
+      tryAcquire: () => {
         given.push('asked');
         return false;
       },
-      giveBack: () => {
+      release: () => {
         given.push('back');
       },
     },
-    dialect,
+    codec: dialect,
     service,
     target,
     exchange: exchange as unknown as RoutedExchange,
@@ -147,7 +152,7 @@
     const { clock, target, send, emulated } = setUp();
     emulated.start();
     await clock.advance(50);
-    send.end('caller-gone');
+    send.cancel('caller-gone');
     expect(emulated.cancelledAt).toBeUndefined();
     await clock.advance(25);
     emulated.turnAway();
@@ -160,7 +165,7 @@
     const { clock, send, emulated } = setUp();
     emulated.start();
     await clock.advance(10);
-    send.end('caller-gone');
+    send.cancel('caller-gone');
     await clock.advance(1_000);
     expect(emulated.cancelledAt).toBeGreaterThanOrEqual(WAY_AND_BACK_MILLISECONDS);
     expect(emulated.cancelledAt).toBeLessThanOrEqual(300);
@@ -171,10 +176,10 @@
     const late = setUp();
     late.emulated.start();
     await late.clock.advance(400);
-    late.send.end('caller-gone');
+    late.send.cancel('caller-gone');
     expect(late.emulated.cancelledAt).toBe(400);
     const unsent = setUp();
-    unsent.send.end('caller-gone');
+    unsent.send.cancel('caller-gone');
     expect(unsent.emulated.cancelledAt).toBe(0);
   });
 
@@ -182,7 +187,7 @@
     const { clock, send, emulated } = setUp();
     emulated.start();
     await clock.advance(10);
-    send.end('deadline');
+    send.cancel('deadline');
     expect(emulated.cancelledAt).toBe(10);
     await clock.advance(0);
   });
@@ -191,7 +196,7 @@
 describe('a send to a target that names a limit', () => {
   it('gives its place back where it never left', async () => {
     const { send, given } = setUp({ limitPerSecond: 2 });
-    send.end('caller-gone');
+    send.cancel('caller-gone');
     expect(await send.verdict).toMatchObject({ kind: 'ended', wasSent: false });
     expect(given).toEqual(['back']);
   });
@@ -199,17 +204,17 @@
   it('keeps its place where it has reached the target, though it is cancelled', async () => {
     const { clock, send, emulated, given } = setUp({ limitPerSecond: 2 });
     emulated.start();
-    send.end('deadline');
+    send.cancel('deadline');
     await clock.advance(0);
     expect(given).toEqual([]);
   });
 
   it('asks for a place before its first byte where the word came while it waited for a connection', () => {
     const { target, emulated, given } = setUp();
-    expect(emulated.request.isWanted()).toBe(true);
+    expect(emulated.request.isStillAllowed()).toBe(true);
     expect(given).toEqual([]);
-    target.word.limit.record(2, { sentAt: 0, now: 0 });
-    expect(emulated.request.isWanted()).toBe(false);
+    target.signals.limit.record(2, { sentAt: 0, now: 0 });
+    expect(emulated.request.isStillAllowed()).toBe(false);
     expect(given).toEqual(['asked']);
   });
 });
--- a/packages/entry/tests/request/target-words.test.ts
+++ b/packages/entry/tests/request/target-signal-recorder.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest';
 import type { EntryEvent } from '../../src/index.js';
 import { EventLog } from '../../src/index.js';
-import { TargetWords } from '../../src/request/target-words.js';
+import { TargetSignalRecorder } from '../../src/request/target-signal-recorder.js';
 
 const SERVICE = { name: 'verdict-api' };
 const SAYS_NOTHING = {
@@ -21,10 +21,10 @@
     lines.push({ event, ...fields } as EntryEvent);
   };
   const logger = { info, warn: info, error: info };
-  const words = new TargetWords({
+  const words = new TargetSignalRecorder({
     clock,
     events: new EventLog(logger as never),
-    onLimit: ({ id }) => {
+    onLimitChange: ({ id }) => {
       limited.push(id);
     },
   });
@@ -36,29 +36,44 @@
   it('counts a rest once until its end, and what is sent meanwhile', async () => {
     const { clock, words, target, lines } = makeWords();
     words.recordSend(target);
-    words.take(SERVICE, target, { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 3_000 }, 0);
-    words.take(SERVICE, target, { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 3_000 }, 0);
+    words.recordResponse(
+      SERVICE,
+      target,
+      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 3_000 },
+      0,
+    );
+    words.recordResponse(
+      SERVICE,
+      target,
+      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 3_000 },
+      0,
+    );
     words.recordSend(target);
     expect([words.rests, words.unwantedSends]).toEqual([1, 1]);
     expect(lines).toMatchObject([
-      { event: 'target', target: 'target-1', start: target.start, state: 'resting' },
+      { event: 'target', target: 'target-1', start: target.incarnationId, state: 'resting' },
     ]);
     await clock.advance(3_000);
     words.recordSend(target);
-    words.take(SERVICE, target, { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 400 }, 0);
+    words.recordResponse(
+      SERVICE,
+      target,
+      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 400 },
+      0,
+    );
     expect([words.rests, words.unwantedSends]).toEqual([2, 1]);
     expect(lines).toHaveLength(1);
   });
 
   it('writes once that a target leaves, and counts what is sent there afterwards', () => {
     const { words, target, lines } = makeWords();
-    words.take(
+    words.recordResponse(
       SERVICE,
       target,
       { ...SAYS_NOTHING, isLeaving: true, restMilliseconds: undefined },
       0,
     );
-    words.take(
+    words.recordResponse(
       SERVICE,
       target,
       { ...SAYS_NOTHING, isLeaving: true, restMilliseconds: undefined },
@@ -71,7 +86,7 @@
 
   it('writes that a rest could not be read, and makes nothing of it', () => {
     const { words, target, lines } = makeWords();
-    words.take(
+    words.recordResponse(
       SERVICE,
       target,
       { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: Number.NaN },
@@ -86,13 +101,13 @@
     const { words, target, lines, limited } = makeWords();
     words.recordSend(target);
     for (const limitPerSecond of [2.5, 2.5, 4, undefined]) {
-      words.take(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond }, 0);
+      words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond }, 0);
       words.recordSend(target);
     }
     expect([words.limits, words.limitedSends]).toEqual([2, 3]);
     expect(limited).toHaveLength(3);
     expect(lines).toMatchObject([
-      { state: 'limited', detail: 'takes 2.5 requests a second', start: target.start },
+      { state: 'limited', detail: 'takes 2.5 requests a second', start: target.incarnationId },
       { state: 'limited', detail: 'takes 4 requests a second' },
       { state: 'unlimited' },
     ]);
@@ -100,17 +115,17 @@
 
   it('keeps the limit that it has where another one could not be read', () => {
     const { words, target, lines } = makeWords();
-    words.take(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond: 2.5 }, 0);
-    words.take(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond: Number.NaN }, 0);
-    expect(target.word.limit.perSecond).toBe(2.5);
+    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond: 2.5 }, 0);
+    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond: Number.NaN }, 0);
+    expect(target.signals.limit.perSecond).toBe(2.5);
     expect(lines.at(-1)).toMatchObject({ event: 'unreadable-answer', target: 'target-1' });
   });
 
   it('writes the name of a header that it does not know, once for each and for few', () => {
     const { words, target, lines } = makeWords();
     const names = Array.from({ length: 100 }, (_, index) => `server-${index}-${'x'.repeat(200)}`);
-    words.take(SERVICE, target, { ...SAYS_NOTHING, unknownHeaders: names }, 0);
-    words.take(SERVICE, target, { ...SAYS_NOTHING, unknownHeaders: names }, 0);
+    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, unknownHeaders: names }, 0);
+    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, unknownHeaders: names }, 0);
     expect(lines).toHaveLength(32);
     expect(lines[0]).toEqual({
       event: 'unknown-header',
--- a/packages/entry/tests/routing/placement-duty.test.ts
+++ b/packages/entry/tests/routing/placement-controller.test.ts
@@ -2,13 +2,13 @@
 import { describe, expect, it } from 'vitest';
 import { FleetView } from '../../src/index.js';
 import { PeerTable } from '../../src/peers/peer-table.js';
-import { PlacementDuty } from '../../src/routing/placement-duty.js';
-import { hostChange, keepEvents, makeRoutingState, targetChange } from '../fixtures.js';
+import { PlacementController } from '../../src/routing/placement-controller.js';
+import { hostChange, captureEvents, makeRoutingState, targetChange } from '../fixtures.js';
 
 /** This host in `jylland`, another in `fyn`, with targets in both. */
 function makeDuty() {
   const clock = new FakeClock();
-  const { log } = keepEvents();
+  const { log } = captureEvents();
   const view = new FleetView();
   const state = makeRoutingState(clock, view, log);
   const peers = new PeerTable(clock, log, () => undefined);
@@ -20,7 +20,7 @@
     targetChange(1, { id: 'c', failureDomain: 'fyn' }),
     targetChange(1, { id: 'd', failureDomain: 'fyn' }),
   ]);
-  const duty = new PlacementDuty({
+  const duty = new PlacementController({
     clock,
     view,
     peers,
@@ -38,9 +38,9 @@
 describe('PlacementDuty', () => {
   it('tells what callers ask of each service, and nothing of one that none asks', () => {
     const { duty, service } = makeDuty();
-    expect(duty.asked).toEqual({});
-    service.asked.record();
-    expect(Object.keys(duty.asked)).toEqual([service.name]);
+    expect(duty.ownDemand).toEqual({});
+    service.requestRate.record();
+    expect(Object.keys(duty.ownDemand)).toEqual([service.name]);
   });
 
   it('takes callers for equally demanding until it hears of any', () => {
@@ -57,7 +57,7 @@
     if (target === undefined) {
       throw new Error('expected a target');
     }
-    service.recordAnswer(target, {
+    service.recordResponse(target, {
       route: makeRoute(),
       key: 'object-1',
       milliseconds: 100,
@@ -66,7 +66,7 @@
     for (let sequence = 1; sequence <= 40; sequence++) {
       await clock.advance(500);
       const status = { name: 'host-2', incarnation: 'first', sequence, leaving: false };
-      peers.take({ ...status, busyShare: 0, asked: { [service.name]: 60 } }, 'itself');
+      peers.update({ ...status, utilization: 0, asked: { [service.name]: 60 } }, 'itself');
       duty.sweep();
     }
     // Six busy slots of 18 in the other region, none here: all keys stay where they are asked for.
--- a/packages/entry/tests/routing/routing-state.test.ts
+++ b/packages/entry/tests/routing/routing-state.test.ts
@@ -2,10 +2,10 @@
 import type { TargetRecord } from '@ferrylock/routing';
 import { describe, expect, it } from 'vitest';
 import { FleetView } from '../../src/index.js';
-import { keepEvents, makeRoutingState, targetChange } from '../fixtures.js';
+import { captureEvents, makeRoutingState, targetChange } from '../fixtures.js';
 
 function setUp() {
-  const { log, events } = keepEvents();
+  const { log, events } = captureEvents();
   const view = new FleetView();
   const state = makeRoutingState(new FakeClock(), view, log);
   let revision = 1;
--- a/packages/entry/tests/routing/vanished-targets.test.ts
+++ b/packages/entry/tests/routing/vanished-targets.test.ts
@@ -14,10 +14,10 @@
   it('drops a target that left without notice before the time that it serves on is over', async () => {
     const { clock, vanished } = makeVanished();
     vanished.add(['target-1'], 20, NEVER_LOST);
-    expect(vanished.takeGone(NEVER_LOST)).toEqual([]);
+    expect(vanished.removeExpired(NEVER_LOST)).toEqual([]);
     await clock.advance(0.6 * DRAIN);
-    expect(vanished.takeGone(NEVER_LOST)).toEqual(['target-1']);
-    expect(vanished.takeGone(NEVER_LOST)).toEqual([]);
+    expect(vanished.removeExpired(NEVER_LOST)).toEqual(['target-1']);
+    expect(vanished.removeExpired(NEVER_LOST)).toEqual([]);
   });
 
   it('keeps a target that is recorded again', async () => {
@@ -25,19 +25,19 @@
     vanished.add(['target-1'], 20, NEVER_LOST);
     expect(vanished.remove('target-1')).toBe(true);
     await clock.advance(10_000);
-    expect(vanished.takeGone(NEVER_LOST)).toEqual([]);
+    expect(vanished.removeExpired(NEVER_LOST)).toEqual([]);
   });
 
   it('keeps what vanishes while the store does not answer until two seconds after its return', async () => {
     const { clock, vanished } = makeVanished();
     vanished.add(['target-1'], 20, Infinity);
     await clock.advance(30_000);
-    expect(vanished.takeGone(Infinity)).toEqual([]);
+    expect(vanished.removeExpired(Infinity)).toEqual([]);
     const returnedAt = clock.now();
     await clock.advance(2_000);
-    expect(vanished.takeGone(returnedAt)).toEqual([]);
+    expect(vanished.removeExpired(returnedAt)).toEqual([]);
     await clock.advance(200);
-    expect(vanished.takeGone(returnedAt)).toEqual(['target-1']);
+    expect(vanished.removeExpired(returnedAt)).toEqual(['target-1']);
   });
 
   it('keeps what vanishes soon after the store’s return until two seconds after it', async () => {
@@ -46,27 +46,27 @@
     await clock.advance(500);
     vanished.add(['target-1'], 20, returnedAt);
     await clock.advance(1_500);
-    expect(vanished.takeGone(returnedAt)).toEqual([]);
+    expect(vanished.removeExpired(returnedAt)).toEqual([]);
     await clock.advance(200);
-    expect(vanished.takeGone(returnedAt)).toEqual(['target-1']);
+    expect(vanished.removeExpired(returnedAt)).toEqual(['target-1']);
   });
 
   it('drops what vanished before the store was lost from sight, however often that happens', async () => {
     const { clock, vanished } = makeVanished();
     vanished.add(['target-1', 'target-2'], 20, NEVER_LOST);
     await clock.advance(0.6 * DRAIN);
-    expect(vanished.takeGone(Infinity)).toEqual(['target-1', 'target-2']);
+    expect(vanished.removeExpired(Infinity)).toEqual(['target-1', 'target-2']);
     vanished.add(['target-3'], 20, NEVER_LOST);
     await clock.advance(0.6 * DRAIN);
-    expect(vanished.takeGone(clock.now())).toEqual(['target-3']);
+    expect(vanished.removeExpired(clock.now())).toEqual(['target-3']);
   });
 
   it('doubts the store where most targets of a service vanish together', async () => {
     const { clock, vanished } = makeVanished();
     vanished.add(['a', 'b', 'c'], 5, NEVER_LOST);
     await clock.advance(2_000);
-    expect(vanished.takeGone(NEVER_LOST)).toEqual([]);
+    expect(vanished.removeExpired(NEVER_LOST)).toEqual([]);
     await clock.advance(200);
-    expect(vanished.takeGone(NEVER_LOST)).toEqual(['a', 'b', 'c']);
+    expect(vanished.removeExpired(NEVER_LOST)).toEqual(['a', 'b', 'c']);
   });
 });
--- a/packages/entry/tests/suspects/crashing-requests.test.ts
+++ b/packages/entry/tests/suspects/crashing-requests.test.ts
@@ -153,7 +153,7 @@
       const look = { name: 'object-1', crashes: false };
       for (const [place, target] of ['a', 'b', 'c'].entries()) {
         const lost = { fingerprint: look.name, requestId: '', route: '', path: '' };
-        crashes.fleet.hosts[place]?.member.suspects.recordEnd({ target, requests: [lost] });
+        crashes.fleet.hosts[place]?.member.suspects.recordCrash({ target, requests: [lost] });
       }
       await clock.advance(1_500);
       expect(await asked(clock, crashes, 7, look)).toBe('turned-away');
--- a/packages/entry/tests/suspects/suspect-duty.test.ts
+++ b/packages/entry/tests/suspects/suspect-controller.test.ts
@@ -3,31 +3,31 @@
 import { describe, expect, it } from 'vitest';
 import { requestFingerprint } from '../../src/suspects/request-fingerprint.js';
 import { FleetView } from '../../src/index.js';
-import type { NewsSource } from '../../src/suspects/suspect-duty.js';
-import { SuspectDuty } from '../../src/suspects/suspect-duty.js';
-import type { TargetEnd } from '../../src/suspects/target-ends.js';
-import { keepEvents, makeExchange } from '../fixtures.js';
+import type { UpdateSource } from '../../src/suspects/suspect-controller.js';
+import { SuspectController } from '../../src/suspects/suspect-controller.js';
+import type { TargetCrash } from '../../src/suspects/target-crash-detector.js';
+import { captureEvents, makeExchange } from '../fixtures.js';
 
 const BAD = makeExchange({ path: '/verdicts/bad' });
 const FINGERPRINT = requestFingerprint(BAD);
 
 function setUp() {
   const clock = new FakeClock();
-  const { log, events } = keepEvents();
-  const told: NewsSource[] = [];
-  const duty = new SuspectDuty({
+  const { log, events } = captureEvents();
+  const told: UpdateSource[] = [];
+  const duty = new SuspectController({
     clock,
     random: new SeededRandom(1),
     events: log,
     store: new MemoryFleetStore(clock),
     view: new FleetView(),
     hosts: () => 1,
-    onNews: (source) => told.push(source),
+    onUpdate: (source) => told.push(source),
   });
   return { clock, duty, events, told };
 }
 
-function endUnder(fingerprint: string, target: string): TargetEnd {
+function endUnder(fingerprint: string, target: string): TargetCrash {
   const request = { fingerprint, requestId: 'request-1', route: 'verdicts', path: '/verdicts/bad' };
   return { target, requests: [request] };
 }
@@ -37,7 +37,7 @@
     const { clock, duty, events } = setUp();
     for (const target of ['a', 'b', 'c']) {
       expect(await duty.mayRun(FINGERPRINT)).toBe(true);
-      duty.recordEnd(endUnder(FINGERPRINT, target));
+      duty.recordCrash(endUnder(FINGERPRINT, target));
     }
     const mayRun = duty.mayRun(FINGERPRINT);
     await clock.advance(1_000);
@@ -49,17 +49,17 @@
 
   it('finds a request that was at a target when it ended, under another id, and no other', () => {
     const { duty } = setUp();
-    expect(duty.find(BAD)).toBeUndefined();
-    duty.recordEnd(endUnder(FINGERPRINT, 'a'));
-    expect(duty.find({ ...BAD, requestId: 'another' })).toBe(FINGERPRINT);
-    expect(duty.find(makeExchange({ path: '/verdicts/good' }))).toBeUndefined();
-    expect(duty.find({ ...BAD, body: Buffer.from('x') })).toBeUndefined();
+    expect(duty.findFingerprint(BAD)).toBeUndefined();
+    duty.recordCrash(endUnder(FINGERPRINT, 'a'));
+    expect(duty.findFingerprint({ ...BAD, requestId: 'another' })).toBe(FINGERPRINT);
+    expect(duty.findFingerprint(makeExchange({ path: '/verdicts/good' }))).toBeUndefined();
+    expect(duty.findFingerprint({ ...BAD, body: Buffer.from('x') })).toBeUndefined();
   });
 
   it('says that a request is let in again', async () => {
     const { duty, events } = setUp();
     for (const target of ['a', 'b', 'c']) {
-      duty.recordEnd(endUnder(FINGERPRINT, target));
+      duty.recordCrash(endUnder(FINGERPRINT, target));
     }
     duty.recordAnswer(FINGERPRINT);
     duty.recordAnswer(FINGERPRINT);
@@ -71,7 +71,7 @@
   it('has others told out of turn ten times a second at most', async () => {
     const { clock, duty, told } = setUp();
     for (let index = 0; index < 100; index++) {
-      duty.recordEnd(endUnder(`request-${index}`, `target-${index}`));
+      duty.recordCrash(endUnder(`request-${index}`, `target-${index}`));
       await clock.advance(10);
     }
     expect(told.length).toBeLessThanOrEqual(10);
@@ -80,10 +80,10 @@
 
   it('has news of others passed on where it is of two ends or more', () => {
     const { duty, told } = setUp();
-    const end = (target: string) => ({ target, ageMilliseconds: 0, answers: 0 });
-    duty.take([{ fingerprint: FINGERPRINT, ends: [end('a')] }]);
+    const end = (target: string) => ({ target, ageMilliseconds: 0, responses: 0 });
+    duty.merge([{ fingerprint: FINGERPRINT, crashes: [end('a')] }]);
     expect(told).toEqual([]);
-    duty.take([{ fingerprint: FINGERPRINT, ends: [end('a'), end('b')] }]);
+    duty.merge([{ fingerprint: FINGERPRINT, crashes: [end('a'), end('b')] }]);
     expect(told).toEqual(['heard']);
   });
 });
--- a/packages/entry/tests/suspects/suspect-records.test.ts
+++ b/packages/entry/tests/suspects/suspect-record-store.test.ts
@@ -8,9 +8,9 @@
 import { describe, expect, it } from 'vitest';
 import type { FleetChange } from '../../src/index.js';
 import { FleetView } from '../../src/index.js';
-import { epochOfTold } from '../../src/fleet/store-position.js';
-import { SuspectRecords } from '../../src/suspects/suspect-records.js';
-import { keepEvents } from '../fixtures.js';
+import { epochFromReported } from '../../src/fleet/store-position.js';
+import { SuspectRecordStore } from '../../src/suspects/suspect-record-store.js';
+import { captureEvents } from '../fixtures.js';
 
 const HOSTS = 12;
 const TARGETS = ['a', 'b', 'c'];
@@ -23,9 +23,9 @@
   const all = Array.from({ length: hosts }, (_, index) => {
     const view = new FleetView();
     const table = new SuspectTable(clock);
-    const { log, events } = keepEvents();
+    const { log, events } = captureEvents();
     const random = new SeededRandom(stableHash(`host-${index}`));
-    const records = new SuspectRecords({
+    const records = new SuspectRecordStore({
       clock,
       random,
       events: log,
@@ -33,13 +33,13 @@
       view,
       table,
       hosts: () => hosts,
-      turnOf: () => index,
+      writeOrderOf: () => index,
     });
     void sweep(records);
     void watch(view);
     return { view, table, records, events };
   });
-  async function sweep(records: SuspectRecords): Promise<void> {
+  async function sweep(records: SuspectRecordStore): Promise<void> {
     for (;;) {
       await clock.sleep(SWEEP_MILLISECONDS);
       records.sweep();
@@ -50,12 +50,12 @@
       const answer = await store.waitForChanges(view.revision, 1_000);
       if (answer.isErr()) {
         const { epoch: told = 0, revision, changes } = (await store.list()).unwrap();
-        const epoch = epochOfTold(told);
+        const epoch = epochFromReported(told);
         view.replace({ epoch, revision }, ofLife(changes, epoch));
         continue;
       }
       const { epoch: told = 0, changes, revision } = answer.value;
-      const epoch = epochOfTold(told);
+      const epoch = epochFromReported(told);
       const [afterEpoch, afterRevision] = [view.isEmpty ? 0 : epoch, view.revision];
       view.apply({ afterEpoch, afterRevision, epoch, revision, changes: ofLife(changes, epoch) });
     }
@@ -69,7 +69,7 @@
 
 function suspect({ table }: { table: SuspectTable }, targets = TARGETS): void {
   for (const target of targets) {
-    table.recordEnd('bad', target);
+    table.recordCrash('bad', target);
   }
 }
 
@@ -108,7 +108,7 @@
     const later = all.map(({ records }) => records.claimTrial('bad'));
     await clock.advance(100);
     expect((await Promise.all(later)).some(Boolean)).toBe(false);
-    expect(all.some(({ records }) => records.mayBeTried('bad'))).toBe(false);
+    expect(all.some(({ records }) => records.mayTry('bad'))).toBe(false);
   });
 
   it('ask a store that refuses once in two seconds, however often the request comes', async () => {
@@ -151,7 +151,7 @@
       suspect(host);
     });
     await clock.advance(4_000);
-    all[3]?.table.recordAnswer('bad', 9);
+    all[3]?.table.recordResponse('bad', 9);
     await clock.advance(4_000);
     expect(await stateOf(store, clock)).toBe('cleared');
     expect(all.some(({ table }) => table.isSuspect('bad'))).toBe(false);
@@ -183,7 +183,7 @@
       suspect(host);
     });
     await clock.advance(4_000);
-    all[3]?.table.recordAnswer('bad', 9);
+    all[3]?.table.recordResponse('bad', 9);
     await clock.advance(4_000);
     all.forEach((host) => {
       suspect(host, ['d', 'e', 'f']);
@@ -204,7 +204,7 @@
     store.remove('suspects/bad');
     await clock.advance(3_000);
     expect(await stateOf(store, clock)).toBeUndefined();
-    all[5]?.table.recordAsked('bad');
+    all[5]?.table.recordArrival('bad');
     await clock.advance(3_000);
     expect(await stateOf(store, clock)).toBe('tried');
   });
@@ -215,7 +215,7 @@
       suspect(host);
     });
     for (let minute = 0; minute < 30; minute++) {
-      all[1]?.table.recordAsked('bad');
+      all[1]?.table.recordArrival('bad');
       await clock.advance(60_000);
     }
     expect(await stateOf(store, clock)).toBe('suspected');
@@ -233,7 +233,7 @@
     const { clock, store, all } = setUp(1);
     for (let index = 0; index < 400; index++) {
       for (const target of TARGETS) {
-        all[0]?.table.recordEnd(`bad-${index}`, target);
+        all[0]?.table.recordCrash(`bad-${index}`, target);
       }
     }
     await clock.advance(5_000);
--- a/packages/entry/tests/suspects/target-ends.test.ts
+++ b/packages/entry/tests/suspects/target-crash-detector.test.ts
@@ -3,13 +3,13 @@
 import { FleetView } from '../../src/index.js';
 import type { EntryEvent } from '../../src/index.js';
 import type { ConnectionCheck } from '../../src/suspects/check-connection.js';
-import type { TargetEnd } from '../../src/suspects/target-ends.js';
-import { TargetEnds } from '../../src/suspects/target-ends.js';
-import { keepEvents, makeExchange, makeRoutingState, targetChange } from '../fixtures.js';
+import type { TargetCrash } from '../../src/suspects/target-crash-detector.js';
+import { TargetCrashDetector } from '../../src/suspects/target-crash-detector.js';
+import { captureEvents, makeExchange, makeRoutingState, targetChange } from '../fixtures.js';
 
 function setUp(connection: ConnectionCheck = 'refused') {
   const clock = new FakeClock();
-  const { log, events } = keepEvents();
+  const { log, events } = captureEvents();
   const view = new FleetView();
   const state = makeRoutingState(clock, view, log);
   view.apply({ afterRevision: 0, revision: 2, changes: [targetChange(2)] });
@@ -19,18 +19,18 @@
     throw new Error('the target is not known');
   }
   const checked: string[] = [];
-  const told: TargetEnd[] = [];
-  const ends = new TargetEnds({
+  const told: TargetCrash[] = [];
+  const ends = new TargetCrashDetector({
     clock,
     events: log,
     checkConnection: (address) => {
       checked.push(address);
       return Promise.resolve(connection);
     },
-    onEnd: (end) => told.push(end),
+    onCrash: (end) => told.push(end),
   });
   const lose = (path: string): void => {
-    ends.recordLoss(service, target, makeExchange({ path }));
+    ends.recordConnectionLoss(service, target, makeExchange({ path }));
   };
   return { clock, view, events, service, target, ends, checked, told, lose };
 }
@@ -46,7 +46,7 @@
     lose('/two');
     await clock.advance(100);
     expect(checked).toEqual(['127.0.0.1:1']);
-    expect(ends.count).toBe(1);
+    expect(ends.crashes).toBe(1);
     expect(told).toMatchObject([
       { target: 'target-1', requests: [{ path: '/one' }, { path: '/two' }] },
     ]);
@@ -61,7 +61,7 @@
       const { clock, ends, told, events, lose } = setUp(connection);
       lose('/one');
       await clock.advance(100);
-      expect([ends.count, told]).toEqual([0, []]);
+      expect([ends.crashes, told]).toEqual([0, []]);
       expect(linesOf(events)).toMatchObject([{ event: 'answers-lost', connection }]);
     },
   );
@@ -72,7 +72,7 @@
     await clock.advance(100);
     lose('/late');
     await clock.advance(100);
-    expect([ends.count, checked.length]).toEqual([1, 1]);
+    expect([ends.crashes, checked.length]).toEqual([1, 1]);
     expect(told[1]).toMatchObject({ target: 'target-1', requests: [{ path: '/late' }] });
   });
 
@@ -81,9 +81,9 @@
     const sentBefore = clock.now();
     lose('/one');
     await clock.advance(100);
-    expect(ends.takeBack(target, clock.now())).toBe(false);
-    expect(ends.takeBack(target, sentBefore)).toBe(true);
-    expect(ends.takeBack(target, sentBefore)).toBe(false);
+    expect(ends.retractCrash(target, clock.now())).toBe(false);
+    expect(ends.retractCrash(target, sentBefore)).toBe(true);
+    expect(ends.retractCrash(target, sentBefore)).toBe(false);
   });
 
   it('counts the ends of two starts under one id as two', async () => {
@@ -93,10 +93,10 @@
     view.apply({ afterRevision: 2, revision: 3, changes: [targetChange(3, { bornAt: 2_000 })] });
     const next = service.targets.get('target-1');
     if (next !== undefined) {
-      ends.recordLoss(service, next, makeExchange({ path: '/one' }));
+      ends.recordConnectionLoss(service, next, makeExchange({ path: '/one' }));
     }
     await clock.advance(100);
-    expect(ends.count).toBe(2);
+    expect(ends.crashes).toBe(2);
     expect(new Set(told.map(({ target }) => target)).size).toBe(2);
   });
 
@@ -115,7 +115,7 @@
   it('expects the end of a target that began to leave while it was looked at', async () => {
     const { clock, target, told, lose } = setUp();
     lose('/one');
-    target.word.recordLeaving();
+    target.signals.recordLeaving();
     await clock.advance(100);
     expect(told).toEqual([]);
   });
--- a/packages/entry/tests/busy-meter.test.ts
+++ b/packages/entry/tests/utilization-meter.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
-import { BusyMeter } from '../src/busy-meter.js';
+import { UtilizationMeter } from '../src/utilization-meter.js';
 
 function makeMeter() {
   const times = { idle: 0, active: 0 };
-  const meter = new BusyMeter(() => ({ ...times }));
+  const meter = new UtilizationMeter(() => ({ ...times }));
   const run = (idle: number, active: number, samples: number): void => {
     for (let sample = 0; sample < samples; sample++) {
       times.idle += idle;
@@ -17,19 +17,19 @@
 test('comes to the share of time with work', () => {
   const { meter, run } = makeMeter();
   run(75, 25, 40);
-  expect(meter.share).toBeCloseTo(0.25, 2);
+  expect(meter.utilization).toBeCloseTo(0.25, 2);
 });
 
 test('follows a change within a second of samples', () => {
   const { meter, run } = makeMeter();
   run(100, 0, 40);
   run(0, 100, 10);
-  expect(meter.share).toBeGreaterThan(0.75);
+  expect(meter.utilization).toBeGreaterThan(0.75);
 });
 
 test('a sample without time between changes nothing', () => {
   const { meter, run } = makeMeter();
   run(50, 50, 40);
   run(0, 0, 5);
-  expect(meter.share).toBeCloseTo(0.5, 2);
+  expect(meter.utilization).toBeCloseTo(0.5, 2);
 });
--- a/packages/entry/tests/watch-duty.test.ts
+++ b/packages/entry/tests/watcher-selection.test.ts
@@ -1,7 +1,7 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
 import { FleetView } from '../src/index.js';
-import { WatchDuty } from '../src/watch-duty.js';
+import { WatcherSelection } from '../src/watcher-selection.js';
 import { targetChange } from './fixtures.js';
 
 const HOSTS = Array.from({ length: 20 }, (_, index) => `host-${index}`);
@@ -11,7 +11,7 @@
   const view = new FleetView();
   const duties = HOSTS.map(
     (ownName) =>
-      new WatchDuty({
+      new WatcherSelection({
         clock,
         view,
         ownName,
@@ -20,7 +20,7 @@
         hostNames: () => HOSTS,
       }),
   );
-  const needed = (): string[] => HOSTS.filter((_, index) => duties[index]?.isNeeded);
+  const needed = (): string[] => HOSTS.filter((_, index) => duties[index]?.isWatcher);
   return { clock, view, duties, needed };
 }
 
@@ -55,7 +55,7 @@
     view.replace({ revision: 1 }, [targetChange(1)]);
     view.confirm({ revision: 1 }, clock.now());
     const watching = new Set(needed());
-    const turns = duties.map(({ turnMilliseconds }, index) => ({
+    const turns = duties.map(({ relistDelayMilliseconds: turnMilliseconds }, index) => ({
       isWatching: watching.has(HOSTS[index] ?? ''),
       turnMilliseconds,
     }));
--- a/packages/experiment/src/caller-requests.ts
+++ b/packages/experiment/src/caller-requests.ts
@@ -50,8 +50,8 @@
         this.#refuse(asked);
         return;
       }
-      host.service(asked.settings.service).asked.record();
-      host.service(asked.settings.service).retries.recordRequest();
+      host.service(asked.settings.service).requestRate.record();
+      host.service(asked.settings.service).retryBudget.recordRequest();
       this.#tryTarget(asked, host, new Set());
     });
   }
@@ -89,7 +89,7 @@
           const { route, key } = asked;
           const milliseconds = this.#options.time.now() - sentAt;
           const answered = { route, key, milliseconds, loadPerSlot };
-          host.service(asked.settings.service).recordAnswer(state, answered);
+          host.service(asked.settings.service).recordResponse(state, answered);
           this.#answer(asked);
         });
       },
@@ -97,7 +97,7 @@
     const cancelTimeout = this.#options.time.after(asked.settings.timeoutMilliseconds, () => {
       state.inFlight--;
       target?.cancel(work);
-      if (state.answeredAt < sentAt) {
+      if (state.lastResponseAt < sentAt) {
         host.service(asked.settings.service).recordFailure(state);
       }
       this.#end(asked, undefined);
@@ -108,7 +108,7 @@
         this.#options.time.after(way, () => {
           cancelTimeout();
           state.inFlight--;
-          state.word.recordRest(rest ?? 0, this.#options.time.now());
+          state.signals.recordRest(rest ?? 0, this.#options.time.now());
           this.#takeRefusal(asked, host, state, tried);
         });
       }
@@ -125,7 +125,7 @@
     }
     const hosts = this.#options.scenario.deployment.hosts;
     const mayTry = tried.size < asked.route.mostAttempts;
-    if (mayTry && host.service(service).retries.tryTake(hosts)) {
+    if (mayTry && host.service(service).retryBudget.tryAcquire(hosts)) {
       this.#tryTarget(asked, host, tried);
     } else {
       this.#refuse(asked);
--- a/packages/experiment/src/comparison.ts
+++ b/packages/experiment/src/comparison.ts
@@ -1,5 +1,5 @@
-import type { LeftOut, Mechanism } from '@ferrylock/routing';
-import { NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import type { DisabledMechanisms, Mechanism } from '@ferrylock/routing';
+import { NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import type { Play } from './experiment.js';
 import { Experiment } from './experiment.js';
 import type { Outcome } from './outcome.js';
@@ -8,7 +8,7 @@
 export interface ComparisonOptions {
   readonly scenario: Scenario;
   /** Mechanisms that are left out, each by itself. */
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
   /** Plays of each way; those of the same number share their seed. */
   readonly seeds: number;
 }
@@ -26,17 +26,25 @@
   readonly ways: readonly WayPlayed[];
 }
 
-export function compare({ scenario, leftOut, seeds }: ComparisonOptions): Comparison {
+export function compare({
+  scenario,
+  disabledMechanisms: leftOut,
+  seeds,
+}: ComparisonOptions): Comparison {
   const ways = [undefined, ...leftOut].map((without) => ({
     without,
-    plays: playAll(scenario, without === undefined ? NOTHING_LEFT_OUT : new Set([without]), seeds),
+    plays: playAll(
+      scenario,
+      without === undefined ? NO_DISABLED_MECHANISMS : new Set([without]),
+      seeds,
+    ),
   }));
   return { scenario, ways };
 }
 
-function playAll(scenario: Scenario, leftOut: LeftOut, seeds: number): Play[] {
+function playAll(scenario: Scenario, leftOut: DisabledMechanisms, seeds: number): Play[] {
   return Array.from({ length: seeds }, (_, index) =>
-    new Experiment({ scenario, seed: index + 1, leftOut }).play(),
+    new Experiment({ scenario, seed: index + 1, disabledMechanisms: leftOut }).play(),
   );
 }
 
--- a/packages/experiment/src/emulated-host.ts
+++ b/packages/experiment/src/emulated-host.ts
@@ -1,5 +1,11 @@
-import type { LeftOut, Route, SeekingRequest, ShiftBound, TargetState } from '@ferrylock/routing';
-import { NO_LIMITS, OverflowAllowance, ServiceTargets } from '@ferrylock/routing';
+import type {
+  DisabledMechanisms,
+  Route,
+  SelectionRequest,
+  RegionShiftLimit,
+  TargetState,
+} from '@ferrylock/routing';
+import { NO_LIMITS, OverflowBudget, ServiceTargets } from '@ferrylock/routing';
 import type { EmulatedTarget } from './emulated-target.js';
 import type { Scenario } from './scenario.js';
 import type { VirtualTime } from './virtual-time.js';
@@ -21,7 +27,7 @@
   readonly region: string;
   readonly scenario: Scenario;
   readonly time: VirtualTime;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
   readonly isEvacuated: (region: string) => boolean;
   /** Names of all hosts; one array. */
   readonly hosts: readonly string[];
@@ -36,12 +42,12 @@
 export class EmulatedHost {
   readonly options: EmulatedHostOptions;
   readonly #services = new Map<string, ServiceTargets>();
-  readonly #overflows: OverflowAllowance;
+  readonly #overflows: OverflowBudget;
 
   constructor(options: EmulatedHostOptions, targets: Iterable<EmulatedTarget>) {
     this.options = options;
     const { time, name, scenario } = options;
-    this.#overflows = new OverflowAllowance({
+    this.#overflows = new OverflowBudget({
       clock: time,
       ownName: name,
       bound: shiftBoundOf(scenario),
@@ -64,17 +70,17 @@
     if (known !== undefined) {
       return known;
     }
-    const { time, region, isEvacuated, leftOut, scenario } = this.options;
+    const { time, region, isEvacuated, disabledMechanisms: leftOut, scenario } = this.options;
     const created = new ServiceTargets(name, {
       overflows: this.#overflows,
       clock: time,
-      retryBound: RETRY_BOUND,
+      retryBudget: RETRY_BOUND,
       regionOf: (failureDomain) => failureDomain,
       ownRegion: region,
       isEvacuated,
-      shiftBound: shiftBoundOf(scenario),
+      regionShiftLimit: shiftBoundOf(scenario),
       limits: NO_LIMITS,
-      leftOut,
+      disabledMechanisms: leftOut,
     });
     created.settings = {
       name,
@@ -105,11 +111,11 @@
     this.service(options.service).remove(id);
   }
 
-  choose(service: string, request: Pick<SeekingRequest, 'route' | 'key' | 'tried'>) {
+  choose(service: string, request: Pick<SelectionRequest, 'route' | 'key' | 'tried'>) {
     const { name, hosts } = this.options;
-    return this.service(service).choose({
+    return this.service(service).select({
       ...request,
-      leastUrgent: this.#leastUrgent,
+      lowestPriority: this.#leastUrgent,
       ownName: name,
       coldSenders: hosts,
     });
@@ -117,7 +123,7 @@
 
   /** Adds what this host has to tell. */
   report(inFlight: Map<string, number>, asked: Map<string, number>): void {
-    for (const { name, targets, asked: rate } of this.#services.values()) {
+    for (const { name, targets, requestRate: rate } of this.#services.values()) {
       const key = askedKey(name, this.region);
       asked.set(key, (asked.get(key) ?? 0) + rate.perSecond);
       for (const { id, inFlight: count } of targets.values()) {
@@ -134,7 +140,7 @@
       for (const target of service.targets.values()) {
         takeOthers(target, inFlight.get(target.id) ?? 0);
       }
-      service.place((region) => asked.get(askedKey(service.name, region)) ?? 0);
+      service.updatePlacement((region) => asked.get(askedKey(service.name, region)) ?? 0);
     }
   }
 
@@ -147,9 +153,9 @@
 function takeOthers(target: TargetState, ofFleet: number): void {
   const others = ofFleet - target.inFlight;
   if (others > 0) {
-    target.othersInFlight.set(FLEET, others);
+    target.peersInFlight.set(FLEET, others);
   } else {
-    target.othersInFlight.delete(FLEET);
+    target.peersInFlight.delete(FLEET);
   }
 }
 
@@ -175,6 +181,6 @@
   };
 }
 
-function shiftBoundOf({ deployment }: Scenario): ShiftBound {
+function shiftBoundOf({ deployment }: Scenario): RegionShiftLimit {
   return { share: deployment.mostShiftShare, windowMilliseconds: SHIFT_WINDOW_MILLISECONDS };
 }
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -1,4 +1,4 @@
-import type { LeftOut, Route } from '@ferrylock/routing';
+import type { DisabledMechanisms, Route } from '@ferrylock/routing';
 import { randomIndex, SeededRandom } from '@ferrylock/utils';
 import type { Random } from '@ferrylock/utils';
 import type { Asked } from './caller-requests.js';
@@ -16,7 +16,7 @@
 export interface ExperimentOptions {
   readonly scenario: Scenario;
   readonly seed: number;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
 }
 
 /** What one play shows: its figures, and the credit of each window. */
@@ -36,9 +36,9 @@
   readonly #counter: OutcomeCounter;
   readonly #requests: CallerRequests;
   readonly #disruptions: Disruptions;
-  readonly #leftOut: LeftOut;
+  readonly #leftOut: DisabledMechanisms;
 
-  constructor({ scenario, seed, leftOut }: ExperimentOptions) {
+  constructor({ scenario, seed, disabledMechanisms: leftOut }: ExperimentOptions) {
     this.#scenario = scenario;
     this.#leftOut = leftOut;
     this.#random = new SeededRandom(seed);
@@ -118,7 +118,7 @@
       region,
       scenario: this.#scenario,
       time: this.#time,
-      leftOut: this.#leftOut,
+      disabledMechanisms: this.#leftOut,
       isEvacuated: (place: string) => this.#disruptions.isEvacuated(place),
       hosts,
     };
@@ -127,7 +127,7 @@
     for (const { options: target } of this.#targets.values()) {
       const isNear = target.region === region;
       const oneWay = isNear ? inRegionMilliseconds : betweenRegionsMilliseconds;
-      host.service(target.service).roundTrips.record(target.region, 2 * oneWay);
+      host.service(target.service).roundTripTimes.record(target.region, 2 * oneWay);
     }
     return host;
   }
--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -1,6 +1,6 @@
 /** `npm run experiment -- SCENARIO.ini [--without NAME,...] [--seeds N] [--hosts N] [--page FILE]` */
 import { readFileSync } from 'node:fs';
-import { parseLeftOut } from '@ferrylock/routing';
+import { parseDisabledMechanisms } from '@ferrylock/routing';
 import { Err, Ok } from 'ts-results-es';
 import type { Result } from 'ts-results-es';
 import sade from 'sade';
@@ -37,7 +37,7 @@
 
 async function run(path: string, { without = '', seeds, hosts, page }: Options): Promise<void> {
   const scenario = readScenario(path, hosts);
-  const leftOut = parseLeftOut(without);
+  const leftOut = parseDisabledMechanisms(without);
   const isCount = Number.isInteger(seeds) && seeds > 0;
   const problems = [
     ...(scenario.isErr() ? [scenario.error] : []),
@@ -48,7 +48,11 @@
     console.error(problems.join('\n'));
     process.exit(EXIT_BAD_INPUT);
   }
-  const comparison = compare({ scenario: scenario.value, leftOut: leftOut.value, seeds });
+  const comparison = compare({
+    scenario: scenario.value,
+    disabledMechanisms: leftOut.value,
+    seeds,
+  });
   console.log(formatComparison(comparison));
   if (page !== undefined) {
     await writePage(page, path, comparison);
--- a/packages/experiment/tests/experiment.test.ts
+++ b/packages/experiment/tests/experiment.test.ts
@@ -1,4 +1,4 @@
-import { NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import { NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import type { Mechanism } from '@ferrylock/routing';
 import { describe, expect, it } from 'vitest';
 import { compare, differences, Experiment, spreadOf } from '../src/index.js';
@@ -6,7 +6,7 @@
 import { makeScenario } from './fixtures.js';
 
 function play(scenario: Scenario, without: readonly Mechanism[] = [], seed = 1): Play {
-  return new Experiment({ scenario, seed, leftOut: new Set(without) }).play();
+  return new Experiment({ scenario, seed, disabledMechanisms: new Set(without) }).play();
 }
 
 describe('Experiment', () => {
@@ -62,7 +62,7 @@
   it('pairs the plays of each way by their seed', () => {
     const comparison = compare({
       scenario: makeScenario(),
-      leftOut: new Set<Mechanism>(['keys-at-home']),
+      disabledMechanisms: new Set<Mechanism>(['keys-at-home']),
       seeds: 2,
     });
     const [whole, without] = comparison.ways;
@@ -73,6 +73,6 @@
     expect(whole.plays).toEqual([1, 2].map((seed) => play(makeScenario(), [], seed)));
     const far = differences(without, whole, ({ betweenRegions }) => betweenRegions);
     expect(spreadOf(far).least).toBeGreaterThan(0.2);
-    expect(NOTHING_LEFT_OUT.size).toBe(0);
+    expect(NO_DISABLED_MECHANISMS.size).toBe(0);
   });
 });
--- a/packages/routing/src/accounts/account-quota.ts
+++ b/packages/routing/src/accounts/account-quota.ts
@@ -1,10 +1,10 @@
 import type { Clock, Random } from '@ferrylock/utils';
 import { RequestRate } from '../request-rate.js';
-import { SlidingCount } from '../sliding-count.js';
+import { SlidingWindowCounter } from '../sliding-window-counter.js';
 import type { ClientAccount } from './client-account.js';
 
 /** How accounts' requests are counted, over all entry hosts together. */
-export interface QuotaBound {
+export interface QuotaPolicy {
   readonly windowMilliseconds: number;
   /** Part of an account's requests in a window that may come on top before the bound is broken. */
   readonly overage: number;
@@ -13,11 +13,11 @@
 }
 
 /** What is known here of one account at all other entry hosts. */
-export interface OthersUsage {
+export interface UsageElsewhere {
   /** Requests that they let run in the last window. */
   readonly used: number;
   /** Requests a second that come to them. */
-  readonly askedPerSecond: number;
+  readonly demandPerSecond: number;
 }
 
 /** Why a request of an account may not run now, and when one may. */
@@ -30,15 +30,15 @@
 }
 
 /** How much of the fleet is known here. */
-export interface FleetKnowledge {
+export interface PeerVisibility {
   /** Whether there is no other host. */
   readonly isAlone: boolean;
   /** How long ago the use of most other hosts was told last, in milliseconds. */
-  readonly deafMilliseconds: number;
+  readonly peerReportAgeMilliseconds: number;
   /** This host's part where it knows nothing of others; all such parts add up to less than one. */
-  readonly blindShare: number;
+  readonly isolatedShare: number;
   /** Part of the window of which nobody remembers what was used, from 0 to 1. */
-  readonly forgottenShare: number;
+  readonly unaccountedShare: number;
 }
 
 /**
@@ -88,12 +88,12 @@
  */
 export class AccountQuota {
   readonly #random: Random;
-  readonly #bound: QuotaBound;
+  readonly #bound: QuotaPolicy;
   /** Requests that this host let run. */
-  readonly #used: SlidingCount;
-  readonly #usedLately: SlidingCount;
+  readonly #used: SlidingWindowCounter;
+  readonly #usedLately: SlidingWindowCounter;
   readonly #asked: RequestRate;
-  readonly #refused: SlidingCount;
+  readonly #refused: SlidingWindowCounter;
   #account: ClientAccount;
   /** What this host had used, and its part of what is asked for, when news of the others was fresh. */
   #usedWhenHeard = 0;
@@ -101,15 +101,15 @@
   /** Requests that were to run since then. */
   #runsSinceHeard = 0;
 
-  constructor(account: ClientAccount, clock: Clock, random: Random, bound: QuotaBound) {
+  constructor(account: ClientAccount, clock: Clock, random: Random, bound: QuotaPolicy) {
     this.#account = account;
     this.#random = random;
     this.#bound = bound;
     const covered = (bound.windowMilliseconds * BUCKETS) / (BUCKETS - 1);
-    this.#used = new SlidingCount(clock, covered, BUCKETS);
-    this.#usedLately = new SlidingCount(clock, SPREAD_MILLISECONDS);
+    this.#used = new SlidingWindowCounter(clock, covered, BUCKETS);
+    this.#usedLately = new SlidingWindowCounter(clock, SPREAD_MILLISECONDS);
     this.#asked = new RequestRate(clock, RATE_MILLISECONDS);
-    this.#refused = new SlidingCount(clock, RATE_MILLISECONDS);
+    this.#refused = new SlidingWindowCounter(clock, RATE_MILLISECONDS);
   }
 
   set account(account: ClientAccount) {
@@ -122,7 +122,7 @@
   }
 
   /** Requests a second of this host's callers. */
-  get askedPerSecond(): number {
+  get demandPerSecond(): number {
     return this.#asked.perSecond;
   }
 
@@ -138,7 +138,7 @@
    *
    * @returns undefined where it may run
    */
-  take(others: OthersUsage, fleet: FleetKnowledge): QuotaRefusal | undefined {
+  acquire(others: UsageElsewhere, fleet: PeerVisibility): QuotaRefusal | undefined {
     this.#asked.record();
     if (!this.#mayRun(others, fleet)) {
       this.#refused.add();
@@ -149,38 +149,38 @@
         usedElsewhere: others.used,
       };
     }
-    this.settle(1);
+    this.charge(1);
     return undefined;
   }
 
   /** Counts further runs of a request that was let run, or that it did not run after all (-1). */
-  settle(runs: number): void {
+  charge(runs: number): void {
     this.#used.add(runs);
     this.#usedLately.add(runs);
   }
 
-  #mayRun(others: OthersUsage, fleet: FleetKnowledge): boolean {
-    const most = this.#most - fleet.forgottenShare * this.limit;
-    if (fleet.deafMilliseconds > CUT_OFF_MILLISECONDS) {
-      return this.used + 1 <= Math.max(fleet.blindShare * most, this.#heldUse(fleet));
+  #mayRun(others: UsageElsewhere, fleet: PeerVisibility): boolean {
+    const most = this.#most - fleet.unaccountedShare * this.limit;
+    if (fleet.peerReportAgeMilliseconds > CUT_OFF_MILLISECONDS) {
+      return this.used + 1 <= Math.max(fleet.isolatedShare * most, this.#heldUse(fleet));
     }
     // Who has forgotten what ran knows as little of what is asked for elsewhere.
-    const certainty = 1 - CAUTION * fleet.forgottenShare;
+    const certainty = 1 - CAUTION * fleet.unaccountedShare;
     const room = certainty * (most - others.used - this.used);
     const turn = Math.max(RUNS_ON_STALE_NEWS, LARGEST_TURN * most);
     const isFlood = !fleet.isAlone && this.#usedLately.total + 1 > turn;
     if (room < 1 || isFlood) {
       return false;
     }
-    if (fleet.deafMilliseconds > STALE_MILLISECONDS) {
+    if (fleet.peerReportAgeMilliseconds > STALE_MILLISECONDS) {
       this.#runsSinceHeard++;
       return (
         this.#runsSinceHeard <=
         Math.max(RUNS_ON_STALE_NEWS, STALE_PART * this.#partWhenHeard * room)
       );
     }
-    const own = Math.max(LEAST_ASKED, this.askedPerSecond);
-    const asked = others.askedPerSecond + own;
+    const own = Math.max(LEAST_ASKED, this.demandPerSecond);
+    const asked = others.demandPerSecond + own;
     const part = own / asked;
     this.#usedWhenHeard = this.used;
     this.#partWhenHeard = part;
@@ -193,7 +193,7 @@
    * What a host may use that is cut off from the others: as much as when it was heard last, for as long as the
    * others count with that (see {@link HeldCounts}).
    */
-  #heldUse({ deafMilliseconds }: FleetKnowledge): number {
+  #heldUse({ peerReportAgeMilliseconds: deafMilliseconds }: PeerVisibility): number {
     const over = deafMilliseconds / this.#bound.windowMilliseconds - 1;
     return this.#usedWhenHeard * Math.max(0, Math.min(1, 1 - over));
   }
@@ -209,7 +209,7 @@
   }
 
   /** Room comes at the account's rate, and those that were refused lately come back for it first. */
-  #secondsUntilRoom(others: OthersUsage): number {
+  #secondsUntilRoom(others: UsageElsewhere): number {
     const { requestsPerSecond } = this.#account;
     const missing = 1 + others.used + this.#used.total - this.#most;
     const waiting = Math.max(0, missing) + this.#refused.total;
--- a/packages/routing/src/accounts/account-quotas.ts
+++ b/packages/routing/src/accounts/account-quotas.ts
@@ -1,6 +1,6 @@
 import type { Clock, Random } from '@ferrylock/utils';
 import { AccountQuota } from './account-quota.js';
-import type { FleetKnowledge, OthersUsage, QuotaBound, QuotaRefusal } from './account-quota.js';
+import type { PeerVisibility, UsageElsewhere, QuotaPolicy, QuotaRefusal } from './account-quota.js';
 import type { ClientAccount } from './client-account.js';
 
 /** Requests by what they count for: an account, or a start of a target. */
@@ -11,16 +11,16 @@
   /** Requests that it let run in the last window. */
   readonly used: CountsByName;
   /** Requests a second that came to it. */
-  readonly asked: CountsByName;
+  readonly demand: CountsByName;
 }
 
 export interface AccountQuotasOptions {
   readonly clock: Clock;
   readonly random: Random;
-  readonly bound: QuotaBound;
+  readonly bound: QuotaPolicy;
   /** What is known here of an account at all other entry hosts. */
-  readonly others: (account: string) => OthersUsage;
-  readonly fleet: () => FleetKnowledge;
+  readonly usageElsewhere: (account: string) => UsageElsewhere;
+  readonly visibility: () => PeerVisibility;
 }
 
 /** What each account uses of its limit at this host. */
@@ -59,24 +59,24 @@
    *
    * @returns undefined where it may run
    */
-  take({ name, requestsPerSecond }: ClientAccount): QuotaRefusal | undefined {
+  acquire({ name, requestsPerSecond }: ClientAccount): QuotaRefusal | undefined {
     if (requestsPerSecond === 0) {
       return undefined;
     }
-    const { others, fleet } = this.#options;
+    const { usageElsewhere: others, visibility: fleet } = this.#options;
     this.#active.add(name);
-    return this.#quotas.get(name)?.take(others(name), fleet());
+    return this.#quotas.get(name)?.acquire(others(name), fleet());
   }
 
   /** Counts in how often a request that was let run came to run. */
-  settle({ name, requestsPerSecond }: ClientAccount, runs: number): void {
+  recordRuns({ name, requestsPerSecond }: ClientAccount, runs: number): void {
     if (requestsPerSecond > 0 && runs !== 1) {
-      this.#quotas.get(name)?.settle(runs - 1);
+      this.#quotas.get(name)?.charge(runs - 1);
     }
   }
 
   /** Whether any account has a limit. */
-  get isNeeded(): boolean {
+  get hasLimits(): boolean {
     return this.#quotas.size > 0;
   }
 
@@ -97,7 +97,7 @@
     for (const name of this.#active) {
       const quota = this.#quotas.get(name);
       const ofWindow = quota?.used ?? 0;
-      const ofSecond = quota?.askedPerSecond ?? 0;
+      const ofSecond = quota?.demandPerSecond ?? 0;
       if (ofWindow > 0) {
         used[name] = ofWindow;
       }
@@ -108,6 +108,6 @@
         this.#active.delete(name);
       }
     }
-    return { used, asked };
+    return { used, demand: asked };
   }
 }
--- a/packages/routing/src/accounts/account-table.ts
+++ b/packages/routing/src/accounts/account-table.ts
@@ -18,7 +18,7 @@
  */
 export class AccountTable {
   /** Largest rank number of any account's request. */
-  readonly leastUrgent: number;
+  readonly lowestPriority: number;
   readonly #accountOfKey = new Map<string, ClientAccount>();
   readonly #routes = new Map<ClientAccount, Map<Route, Result<AdmittedRoute, AdmissionFailure>>>();
   readonly #leastUrgentRoute: number;
@@ -32,7 +32,7 @@
     const priorities = accounts.map(({ priority }) => priority);
     this.#leastUrgentRoute = leastUrgentRoute;
     this.#mostUrgentAccount = Math.min(...priorities);
-    this.leastUrgent =
+    this.lowestPriority =
       accounts.length === 0
         ? leastUrgentRoute
         : this.#rank(Math.max(...priorities), leastUrgentRoute);
--- a/packages/routing/src/accounts/held-counts.ts
+++ b/packages/routing/src/accounts/reported-counts.ts
@@ -29,7 +29,7 @@
  * the window its requests came nobody knows, so all of them count for a whole window more; so do those of a
  * source that has ended. One that falls silent may go on as before, and is taken to for one window.
  */
-export class HeldCounts {
+export class ReportedCounts {
   readonly #clock: Clock;
   readonly #windowMilliseconds: number;
   readonly #sources = new Map<string, Source>();
@@ -39,7 +39,7 @@
     this.#windowMilliseconds = windowMilliseconds;
   }
 
-  take(name: string, told: CountsByName): void {
+  record(name: string, told: CountsByName): void {
     const now = this.#clock.now();
     const source = this.#sources.get(name) ?? newSource(now);
     this.#sources.set(name, source);
@@ -62,7 +62,7 @@
   }
 
   /** A source's process has ended: nothing comes on top of what it told last. */
-  end(name: string): void {
+  markEnded(name: string): void {
     const source = this.#sources.get(name);
     if (source !== undefined) {
       source.isEnded = true;
@@ -70,7 +70,7 @@
   }
 
   /** What a source told last of an account. */
-  lastOf(name: string, account: string): number {
+  lastReported(name: string, account: string): number {
     return this.#sources.get(name)?.counts[account] ?? 0;
   }
 
--- a/packages/routing/src/accounts/forgotten-share.ts
+++ b/packages/routing/src/accounts/unaccounted-share.ts
@@ -9,7 +9,7 @@
  *
  * @param knownMilliseconds - how far back some host knows what ran
  */
-export function forgottenShare(knownMilliseconds: number, windowMilliseconds: number): number {
+export function unaccountedShare(knownMilliseconds: number, windowMilliseconds: number): number {
   const unknown = Math.max(0, 1 - knownMilliseconds / windowMilliseconds);
   return Math.min(1, RUSH_AT_THE_END * unknown);
 }
--- a/packages/routing/src/cold-gate.ts
+++ b/packages/routing/src/cold-start-limiter.ts
@@ -9,7 +9,7 @@
 const USED_SHARE = 0.7;
 
 /** What decides whether this entry host may send a request to a cold target now. */
-export interface ColdDemand {
+export interface ColdStartRequest {
   readonly target: string;
   /** Requests a second that the target bears. */
   readonly requestsPerSecond: number;
@@ -30,12 +30,12 @@
  * message: a few hosts, the same ones by everybody's reckoning, send to it, each at an equal part
  * of the rate and never two requests closer than that part allows.
  */
-export class ColdGate {
+export class ColdStartLimiter {
   readonly #senders = new Map<string, Sender>();
 
   constructor(readonly clock: Clock) {}
 
-  tryTake(demand: ColdDemand): boolean {
+  tryAcquire(demand: ColdStartRequest): boolean {
     const { requestsPerSecond, hosts } = demand;
     const count = senderCount(requestsPerSecond, hosts.length);
     const sender = this.#senderFor(demand, count);
@@ -53,7 +53,7 @@
     this.#senders.delete(target);
   }
 
-  #senderFor({ target, hosts, ownName }: ColdDemand, count: number): Sender {
+  #senderFor({ target, hosts, ownName }: ColdStartRequest, count: number): Sender {
     const known = this.#senders.get(target);
     if (known?.hosts === hosts) {
       return known;
