--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,24 +1,24 @@
 export { AccountQuota } from './accounts/account-quota.js';
 export type {
-  FleetKnowledge,
-  OthersUsage,
-  QuotaBound,
+  PeerVisibility,
+  UsageElsewhere,
+  QuotaPolicy,
   QuotaRefusal,
 } from './accounts/account-quota.js';
 export { AccountQuotas } from './accounts/account-quotas.js';
 export type { CountsByName, AccountQuotasOptions, UsageByName } from './accounts/account-quotas.js';
-export { forgottenShare } from './accounts/forgotten-share.js';
-export { HeldCounts } from './accounts/held-counts.js';
+export { unaccountedShare } from './accounts/unaccounted-share.js';
+export { ReportedCounts } from './accounts/reported-counts.js';
 export { AccountTable } from './accounts/account-table.js';
 export type { AdmissionFailure, AdmittedRoute } from './accounts/account-table.js';
 export { clientAccountSchema, clientAccountsSchema } from './accounts/client-account.js';
 export type { ClientAccount } from './accounts/client-account.js';
-export type { CommonWait } from './common-wait.js';
-export { chooseShare } from './choose-share.js';
-export { mostLoadPerSlot } from './most-load-per-slot.js';
-export type { LoadBoundInput } from './most-load-per-slot.js';
-export { RetryAllowance } from './divided-limits.js';
-export type { RetryBound } from './divided-limits.js';
+export type { TargetAvailability } from './target-availability.js';
+export { pickWeightedService } from './pick-weighted-service.js';
+export { maxLoadPerSlot } from './max-load-per-slot.js';
+export type { MaxLoadInput } from './max-load-per-slot.js';
+export { RetryBudget } from './retry-budget.js';
+export type { RetryBudgetSettings } from './retry-budget.js';
 export {
   callerLimitsSchema,
   requestKindSchema,
@@ -36,44 +36,44 @@
   ServiceShare,
 } from './route-configuration.js';
 export { RouteTable } from './route-table.js';
-export { ShareBalancer } from './share-balancer.js';
-export { MECHANISMS, NOTHING_LEFT_OUT, parseLeftOut } from './mechanisms.js';
-export type { LeftOut, Mechanism } from './mechanisms.js';
+export { TrafficSplitter } from './traffic-splitter.js';
+export { MECHANISMS, NO_DISABLED_MECHANISMS, parseDisabledMechanisms } from './mechanisms.js';
+export type { DisabledMechanisms, Mechanism } from './mechanisms.js';
 export { RegionPlacement } from './region-placement.js';
-export type { RegionPlacementOptions, RegionRoom } from './region-placement.js';
-export { SlidingCount } from './sliding-count.js';
+export type { RegionPlacementOptions, RegionCapacity } from './region-placement.js';
+export { SlidingWindowCounter } from './sliding-window-counter.js';
 export { RequestRate } from './request-rate.js';
-export { RoundTrips } from './round-trips.js';
+export { RoundTripTimes } from './round-trip-times.js';
 export { ServiceTargets } from './service-targets.js';
 export type {
   PutOutcome,
-  SeekingRequest,
+  SelectionRequest,
   ServiceTargetsOptions,
-  TargetAnswered,
+  ObservedResponse,
 } from './service-targets.js';
-export { OverflowAllowance } from './shift-bound.js';
-export type { ShiftBound } from './shift-bound.js';
-export { TargetChoice } from './target-choice.js';
-export type { TargetChoiceOptions, TargetDemand } from './target-choice.js';
-export { WorkTimes } from './work-times.js';
+export { OverflowBudget } from './overflow-budget.js';
+export type { RegionShiftLimit } from './overflow-budget.js';
+export { TargetSelector } from './target-selector.js';
+export type { TargetSelectorOptions, SelectionCriteria } from './target-selector.js';
+export { ProcessingTimes } from './processing-times.js';
 export { targetRecordSchema } from './target-record.js';
 export type { TargetRecord } from './target-record.js';
-export { compareStarts, idOfStart, startName } from './target-start.js';
-export type { TargetStart } from './target-start.js';
+export { compareIncarnations, targetIdOf, incarnationId } from './target-incarnation.js';
+export type { TargetIncarnation } from './target-incarnation.js';
 export { TargetState } from './target-state.js';
-export { TargetWord } from './target-word.js';
-export { LIMIT_WINDOW_MILLISECONDS, LimitPart } from './limits/limit-part.js';
-export type { LimitSight } from './limits/limit-part.js';
+export { TargetSignals } from './target-signals.js';
+export { LIMIT_WINDOW_MILLISECONDS, LimitShare } from './limits/limit-share.js';
+export type { LimitView } from './limits/limit-share.js';
 export { NO_LIMITS, TargetLimits } from './limits/target-limits.js';
-export type { LimitFigures, LimitFleet, TargetLimitsOptions } from './limits/target-limits.js';
-export { LimitWord } from './limits/limit-word.js';
-export type { HeardLimit } from './limits/limit-word.js';
-export { ColdGate } from './cold-gate.js';
-export type { ColdDemand } from './cold-gate.js';
+export type { LimitUsage, LimitFleet, TargetLimitsOptions } from './limits/target-limits.js';
+export { AdvertisedLimit } from './limits/advertised-limit.js';
+export type { ReceivedLimit } from './limits/advertised-limit.js';
+export { ColdStartLimiter } from './cold-start-limiter.js';
+export type { ColdStartRequest } from './cold-start-limiter.js';
 export {
-  ANSWERS_TO_TAKE_BACK,
-  ENDS_OF_SUSPECT,
-  FINGERPRINT_HEAD_CHARACTERS,
+  RESPONSES_TO_CLEAR,
+  SUSPECT_CRASHES,
+  FINGERPRINT_PREFIX_LENGTH,
   SuspectTable,
 } from './suspects/suspect-table.js';
-export type { SuspectEnd, ToldSuspect } from './suspects/suspect-table.js';
+export type { SuspectCrash, SuspectReport } from './suspects/suspect-table.js';
--- a/packages/routing/src/limits/recent-rate.ts
+++ b/packages/routing/src/limits/adaptive-request-rate.ts
@@ -9,7 +9,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** How many requests come in a second, by the last few of them; the same for one in ten seconds and for hundreds in one. */
-export class RecentRate {
+export class AdaptiveRequestRate {
   readonly #clock: Clock;
   /** When the last requests came, the latest last. */
   readonly #times: number[] = [];
--- a/packages/routing/src/limits/limit-word.ts
+++ b/packages/routing/src/limits/advertised-limit.ts
@@ -12,27 +12,27 @@
 const AT_ONCE_MILLISECONDS = 200;
 
 /** A limit as one host heard it. */
-export interface HeardLimit {
+export interface ReceivedLimit {
   /** Requests a second that the target takes from all hosts together; undefined where it named none. */
   readonly perSecond: number | undefined;
   /** Monotonic milliseconds. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /**
  * The requests a second that a start of a target takes from all hosts together, by its answers. It holds until an answer to a
  * later request names another one, or none.
  */
-export class LimitWord implements HeardLimit {
+export class AdvertisedLimit implements ReceivedLimit {
   #perSecond: number | undefined;
-  #heardAt = -Infinity;
+  #receivedAt = -Infinity;
 
   get perSecond(): number | undefined {
     return this.#perSecond;
   }
 
-  get heardAt(): number {
-    return this.#heardAt;
+  get receivedAt(): number {
+    return this.#receivedAt;
   }
 
   /**
@@ -47,7 +47,7 @@
       return false;
     }
     const named = inRange(perSecond);
-    return this.#take(sentAt < this.#heardAt ? stricter(named, this.#perSecond) : named, now);
+    return this.#take(sentAt < this.#receivedAt ? stricter(named, this.#perSecond) : named, now);
   }
 
   /**
@@ -55,20 +55,20 @@
    *
    * @returns whether that is news
    */
-  hear({ perSecond, heardAt }: HeardLimit): boolean {
-    if (heardAt < this.#heardAt - AT_ONCE_MILLISECONDS) {
+  merge({ perSecond, receivedAt: heardAt }: ReceivedLimit): boolean {
+    if (heardAt < this.#receivedAt - AT_ONCE_MILLISECONDS) {
       return false;
     }
-    const isNewer = heardAt > this.#heardAt + AT_ONCE_MILLISECONDS;
+    const isNewer = heardAt > this.#receivedAt + AT_ONCE_MILLISECONDS;
     const named = inRange(perSecond);
     const held = isNewer ? named : stricter(named, this.#perSecond);
-    return this.#take(held, Math.max(heardAt, this.#heardAt));
+    return this.#take(held, Math.max(heardAt, this.#receivedAt));
   }
 
   #take(perSecond: number | undefined, heardAt: number): boolean {
     const isNews = perSecond !== this.#perSecond;
     this.#perSecond = perSecond;
-    this.#heardAt = heardAt;
+    this.#receivedAt = heardAt;
     return isNews;
   }
 }
--- a/packages/routing/src/limits/target-limits.ts
+++ b/packages/routing/src/limits/target-limits.ts
@@ -1,11 +1,11 @@
 import { rendezvousRank } from '@ferrylock/utils';
 import type { Clock, Random } from '@ferrylock/utils';
-import type { OthersUsage } from '../accounts/account-quota.js';
+import type { UsageElsewhere } from '../accounts/account-quota.js';
 import type { UsageByName } from '../accounts/account-quotas.js';
-import type { LeftOut } from '../mechanisms.js';
+import type { DisabledMechanisms } from '../mechanisms.js';
 import type { TargetState } from '../target-state.js';
-import { LimitPart } from './limit-part.js';
-import type { LimitSight } from './limit-part.js';
+import { LimitShare } from './limit-share.js';
+import type { LimitView } from './limit-share.js';
 
 /** What is known of the fleet that a limit is shared in. */
 export interface LimitFleet {
@@ -13,27 +13,27 @@
   readonly hosts: readonly string[];
   readonly ownName: string;
   /** Part of them, this one included, that is heard. */
-  readonly heardShare: number;
+  readonly visibleHostShare: number;
 }
 
 export interface TargetLimitsOptions {
   readonly clock: Clock;
   readonly random: Random;
   /** What all other hosts told of a start of a target. */
-  readonly others: (start: string) => OthersUsage;
+  readonly usageElsewhere: (start: string) => UsageElsewhere;
   readonly fleet: () => LimitFleet;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
 }
 
 /** Where no target names a limit. */
-export const NO_LIMITS: Pick<TargetLimits, 'take' | 'giveBack' | 'waitMilliseconds'> = {
-  take: () => true,
-  giveBack: () => undefined,
+export const NO_LIMITS: Pick<TargetLimits, 'tryAcquire' | 'release' | 'waitMilliseconds'> = {
+  tryAcquire: () => true,
+  release: () => undefined,
   waitMilliseconds: () => 0,
 };
 
 /** How much of a target's limit this host has and uses. */
-export interface LimitFigures {
+export interface LimitUsage {
   /** Requests a second that it takes to be its part. */
   readonly partPerSecond: number;
   /** Requests that it sent in the last window. */
@@ -44,7 +44,7 @@
 
 /** This host's part of a start's limit, with its place among all hosts for it. */
 interface KnownPart {
-  readonly part: LimitPart;
+  readonly part: LimitShare;
   place: number;
   placedAmong: readonly string[] | undefined;
 }
@@ -62,53 +62,53 @@
   }
 
   /** Lets a request be sent to a target, or does not. */
-  take(target: TargetState): boolean {
+  tryAcquire(target: TargetState): boolean {
     const known = this.#partOf(target);
-    return known === undefined || known.part.take(this.#sightOf(target.start, known));
+    return known === undefined || known.part.tryAcquire(this.#sightOf(target.incarnationId, known));
   }
 
   /** A request that was let be sent was not. */
-  giveBack(target: TargetState): void {
-    this.#parts.get(target.start)?.part.giveBack();
+  release(target: TargetState): void {
+    this.#parts.get(target.incarnationId)?.part.release();
   }
 
   /** Until a target takes a request of this host, in milliseconds; 0 where it names no limit. */
   waitMilliseconds(target: TargetState): number {
     const known = this.#partOf(target);
-    return known?.part.waitMilliseconds(this.#sightOf(target.start, known)) ?? 0;
+    return known?.part.waitMilliseconds(this.#sightOf(target.incarnationId, known)) ?? 0;
   }
 
   /** Undefined where the target names no limit. */
-  figuresOf(target: TargetState): LimitFigures | undefined {
+  usageOf(target: TargetState): LimitUsage | undefined {
     const known = this.#partOf(target);
     if (known === undefined) {
       return undefined;
     }
-    const sight = this.#sightOf(target.start, known);
+    const sight = this.#sightOf(target.incarnationId, known);
     return {
       partPerSecond: known.part.ratePerSecond(sight),
       used: known.part.used,
-      usedElsewhere: sight.others.used,
+      usedElsewhere: sight.usageElsewhere.used,
     };
   }
 
   /** What is told to other hosts now, by starts of targets; those without any use are left out. */
-  tell(): UsageByName {
+  report(): UsageByName {
     const used: Record<string, number> = {};
     const asked: Record<string, number> = {};
     for (const [start, known] of this.#parts) {
-      const told = known.part.tell(this.#sightOf(start, known));
-      if (told.used > 0 || told.askedPerSecond > 0) {
+      const told = known.part.report(this.#sightOf(start, known));
+      if (told.used > 0 || told.demandPerSecond > 0) {
         used[start] = told.used;
-        asked[start] = told.askedPerSecond;
+        asked[start] = told.demandPerSecond;
       } else {
         this.#parts.delete(start);
       }
     }
-    return { used, asked };
+    return { used, demand: asked };
   }
 
-  #partOf({ start, word }: TargetState): KnownPart | undefined {
+  #partOf({ incarnationId: start, signals: word }: TargetState): KnownPart | undefined {
     const { perSecond } = word.limit;
     if (perSecond === undefined) {
       if (this.#parts.size > 0) {
@@ -116,12 +116,12 @@
       }
       return undefined;
     }
-    const { clock, random, leftOut } = this.#options;
+    const { clock, random, disabledMechanisms: leftOut } = this.#options;
     if (leftOut.has('limit')) {
       return undefined;
     }
     const known = this.#parts.get(start) ?? {
-      part: new LimitPart(clock, random, perSecond),
+      part: new LimitShare(clock, random, perSecond),
       place: 0,
       placedAmong: undefined,
     };
@@ -130,9 +130,9 @@
     return known;
   }
 
-  #sightOf(start: string, known: KnownPart): LimitSight {
-    const { others, fleet } = this.#options;
-    const { hosts, ownName, heardShare } = fleet();
+  #sightOf(start: string, known: KnownPart): LimitView {
+    const { usageElsewhere: others, fleet } = this.#options;
+    const { hosts, ownName, visibleHostShare: heardShare } = fleet();
     const place = (): number => {
       if (known.placedAmong !== hosts) {
         known.placedAmong = hosts;
@@ -140,6 +140,11 @@
       }
       return known.place;
     };
-    return { others: others(start), heardShare, hosts: hosts.length, place };
+    return {
+      usageElsewhere: others(start),
+      visibleHostShare: heardShare,
+      hosts: hosts.length,
+      place,
+    };
   }
 }
--- a/packages/routing/src/most-load-per-slot.ts
+++ b/packages/routing/src/max-load-per-slot.ts
@@ -12,12 +12,12 @@
 /** What each step of urgency adds, so that the less urgent is refused first. */
 const PER_URGENCY = 0.15;
 
-export interface LoadBoundInput {
+export interface MaxLoadInput {
   readonly route: Pick<Route, 'targetLatencyMilliseconds' | 'priority'>;
   /** Average time of work on a request of the service; undefined before the first answer. */
-  readonly runMilliseconds: number | undefined;
+  readonly processingMilliseconds: number | undefined;
   /** Largest priority number of all routes. */
-  readonly leastUrgent: number;
+  readonly lowestPriority: number;
 }
 
 /**
@@ -25,7 +25,11 @@
  * many that this one still ends within the time that makes it of full use. What could not is
  * better refused at once, while the caller can come back.
  */
-export function mostLoadPerSlot({ route, runMilliseconds, leastUrgent }: LoadBoundInput): number {
+export function maxLoadPerSlot({
+  route,
+  processingMilliseconds: runMilliseconds,
+  lowestPriority: leastUrgent,
+}: MaxLoadInput): number {
   const urgency = PER_URGENCY * Math.max(0, leastUrgent - route.priority);
   if (runMilliseconds === undefined) {
     return LEAST + urgency;
--- a/packages/routing/src/mechanisms.ts
+++ b/packages/routing/src/mechanisms.ts
@@ -37,12 +37,12 @@
 export type Mechanism = (typeof MECHANISMS)[number];
 
 /** Mechanisms that are left out. */
-export type LeftOut = ReadonlySet<Mechanism>;
+export type DisabledMechanisms = ReadonlySet<Mechanism>;
 
-export const NOTHING_LEFT_OUT: LeftOut = new Set();
+export const NO_DISABLED_MECHANISMS: DisabledMechanisms = new Set();
 
 /** Reads names divided by commas; an unknown one is an error that names all that there are. */
-export function parseLeftOut(text: string): Result<LeftOut, string> {
+export function parseDisabledMechanisms(text: string): Result<DisabledMechanisms, string> {
   const names = text.split(',').filter((name) => name !== '');
   const unknown = names.find((name) => !isMechanism(name));
   if (unknown !== undefined) {
--- a/packages/routing/src/shift-bound.ts
+++ b/packages/routing/src/overflow-budget.ts
@@ -1,6 +1,6 @@
 import { stableHash } from '@ferrylock/utils';
 import type { Clock } from '@ferrylock/utils';
-import { SlidingCount } from './sliding-count.js';
+import { SlidingWindowCounter } from './sliding-window-counter.js';
 
 const HASH_RANGE = 0x1_0000_0000;
 /** Part of the bound that is for keys that change their region. */
@@ -15,20 +15,20 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** How many of a region's requests may change the region in which they run. */
-export interface ShiftBound {
+export interface RegionShiftLimit {
   /** From 0 to 1, from one window to the next. */
   readonly share: number;
   readonly windowMilliseconds: number;
 }
 
 /** How far the part of a region's keys that stay at home may move in a second. */
-export function mostStepPerSecond({ share, windowMilliseconds }: ShiftBound): number {
+export function maxStepPerSecond({ share, windowMilliseconds }: RegionShiftLimit): number {
   return (STEP_PART * share * MILLISECONDS_PER_SECOND) / windowMilliseconds;
 }
 
-export interface OverflowAllowanceOptions {
+export interface OverflowBudgetOptions {
   readonly clock: Clock;
-  readonly bound: ShiftBound;
+  readonly bound: RegionShiftLimit;
   readonly ownName: string;
 }
 
@@ -42,21 +42,21 @@
  * with fewer than 17 requests in two seconds refuses what targets elsewhere have room for: 293 of 2,403
  * uploads of a day with 195 hosts.
  */
-export class OverflowAllowance {
-  readonly #options: OverflowAllowanceOptions;
-  readonly #requests: SlidingCount;
-  readonly #overflows: SlidingCount;
+export class OverflowBudget {
+  readonly #options: OverflowBudgetOptions;
+  readonly #requests: SlidingWindowCounter;
+  readonly #overflows: SlidingWindowCounter;
   readonly #share: number;
   /** Where this host stands among all, from 0 to 1; those below the holders' part save. */
   readonly #position: number;
   #holders = 0;
   #saved = 0;
 
-  constructor(options: OverflowAllowanceOptions) {
+  constructor(options: OverflowBudgetOptions) {
     const { clock, bound, ownName } = options;
     this.#options = options;
-    this.#requests = new SlidingCount(clock, bound.windowMilliseconds);
-    this.#overflows = new SlidingCount(clock, bound.windowMilliseconds);
+    this.#requests = new SlidingWindowCounter(clock, bound.windowMilliseconds);
+    this.#overflows = new SlidingWindowCounter(clock, bound.windowMilliseconds);
     this.#share = OVERFLOW_PART * bound.share;
     this.#position = stableHash(`overflow ${ownName}`) / HASH_RANGE;
   }
--- a/packages/routing/src/choose-share.ts
+++ b/packages/routing/src/pick-weighted-service.ts
@@ -9,7 +9,7 @@
  *
  * @param text - what the choice is bound to, such as the request's id
  */
-export function chooseShare(route: Route, text: string): string {
+export function pickWeightedService(route: Route, text: string): string {
   const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
   let left = (stableHash(`${route.name} ${text}`) / HASH_RANGE) * total;
   for (const { service, weight } of route.shares) {
--- a/packages/routing/src/work-times.ts
+++ b/packages/routing/src/processing-times.ts
@@ -12,17 +12,17 @@
  * others. Targets do not say which it was: the time does, and whether the same target had the same
  * object before.
  */
-export class WorkTimes {
+export class ProcessingTimes {
   readonly #known = new MovingAverage(WEIGHT);
   readonly #unknown = new MovingAverage(UNKNOWN_WEIGHT);
 
   /** On objects that the target knows; undefined before the first answer. */
-  get knownMilliseconds(): number | undefined {
+  get hitMilliseconds(): number | undefined {
     return this.#known.value ?? this.#unknown.value;
   }
 
   /** How much longer on objects that the target does not know; undefined until both were seen. */
-  get extraMilliseconds(): number | undefined {
+  get missPenaltyMilliseconds(): number | undefined {
     const known = this.#known.value;
     const unknown = this.#unknown.value;
     return known === undefined || unknown === undefined ? undefined : Math.max(0, unknown - known);
--- a/packages/routing/src/region-placement.ts
+++ b/packages/routing/src/region-placement.ts
@@ -1,5 +1,5 @@
 import { stableHash } from '@ferrylock/utils';
-import type { LeftOut } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 
 const HASH_RANGE = 0x1_0000_0000;
 /**
@@ -19,7 +19,7 @@
 const LEAST_SPARE = 0.001;
 
 /** What one region's targets of a service can carry, and what its callers ask for. */
-export interface RegionRoom {
+export interface RegionCapacity {
   readonly region: string;
   /** Slots of its usable targets. */
   readonly slots: number;
@@ -30,12 +30,12 @@
 export interface RegionPlacementOptions {
   readonly ownRegion: string;
   /** How far the part of keys that stay at home may move in a second. */
-  readonly mostStepPerSecond: number;
-  readonly leftOut: LeftOut;
+  readonly maxStepPerSecond: number;
+  readonly disabledMechanisms: DisabledMechanisms;
 }
 
 /** What was decided for one region, for those who look on. */
-export interface PlacedRegion extends RegionRoom {
+export interface PlacedRegion extends RegionCapacity {
   readonly homeShare: number;
 }
 
@@ -55,10 +55,10 @@
  */
 export class RegionPlacement {
   readonly #options: RegionPlacementOptions;
-  readonly #parts = new Map<string, Part>();
+  readonly #regions = new Map<string, Part>();
   #updatedAt = -Infinity;
   #isMeasured = false;
-  #rooms: readonly RegionRoom[] = [];
+  #rooms: readonly RegionCapacity[] = [];
   /** Regions of which no target counts now. */
   #absent: readonly string[] = [];
 
@@ -83,76 +83,76 @@
 
   /** Part of the region's keys that stay with its own targets. */
   homeShare(region: string): number {
-    return this.#parts.get(region)?.homeShare ?? 0;
+    return this.#regions.get(region)?.homeShare ?? 0;
   }
 
   /** Whether the region serves this key for its own callers. */
-  isAtHome(region: string, key: string): boolean {
+  isServedLocally(region: string, key: string): boolean {
     return positionOf(key) < this.homeShare(region);
   }
 
   /** Whether the region serves this key where the way to others is dear: as far as it has room. */
-  isNear(region: string, key: string): boolean {
+  prefersLocal(region: string, key: string): boolean {
     const part = (NEAR_LOAD / COMFORTABLE_LOAD) * this.homeShare(region);
-    return this.#options.leftOut.has('keys-at-home') || positionOf(key) < part;
+    return this.#options.disabledMechanisms.has('keys-at-home') || positionOf(key) < part;
   }
 
   /**
    * Regions in the order in which the key's requests prefer them; those come last whose targets
    * cannot be used, or are all cold.
    */
-  orderOf(key: string): string[] {
+  regionOrder(key: string): string[] {
     return [...this.#presentOrderOf(key), ...this.#absent];
   }
 
   /** A region has a target: until parts are decided anew, for up to a second, it comes last rather than never. */
   addRegion(region: string): void {
-    if (!this.#parts.has(region) && !this.#absent.includes(region)) {
+    if (!this.#regions.has(region) && !this.#absent.includes(region)) {
       this.#absent = [...this.#absent, region];
     }
   }
 
   #presentOrderOf(key: string): string[] {
-    const { ownRegion, leftOut } = this.#options;
-    const ranked = [...this.#parts.keys()]
+    const { ownRegion, disabledMechanisms: leftOut } = this.#options;
+    const ranked = [...this.#regions.keys()]
       .map((region) => ({ region, rank: this.#rankOf(region, key) }))
       .sort((a, b) => b.rank - a.rank)
       .map(({ region }) => region);
-    if (!this.#parts.has(ownRegion) || leftOut.has('keys-at-home')) {
+    if (!this.#regions.has(ownRegion) || leftOut.has('keys-at-home')) {
       return ranked;
     }
     const others = ranked.filter((region) => region !== ownRegion);
-    return this.isAtHome(ownRegion, key) ? [ownRegion, ...others] : [...others, ownRegion];
+    return this.isServedLocally(ownRegion, key) ? [ownRegion, ...others] : [...others, ownRegion];
   }
 
   /** Takes over what there is and is asked for now; to be called a few times a second. */
-  update(rooms: readonly RegionRoom[], now: number): void {
+  update(rooms: readonly RegionCapacity[], now: number): void {
     const isMeasured = rooms.some(({ work }) => work !== undefined && work > 0);
     // Before callers come nothing is moved by a change: the parts are taken as they come out.
     const isFirst = !this.#isMeasured;
     this.#isMeasured ||= isMeasured;
     const seconds = Math.max(0, now - this.#updatedAt) / 1_000;
-    const step = isFirst && !isMeasured ? 1 : this.#options.mostStepPerSecond * seconds;
+    const step = isFirst && !isMeasured ? 1 : this.#options.maxStepPerSecond * seconds;
     this.#updatedAt = now;
     this.#rooms = rooms;
     this.#absent = rooms.filter(({ slots }) => slots === 0).map(({ region }) => region);
-    for (const region of [...this.#parts.keys()]) {
+    for (const region of [...this.#regions.keys()]) {
       if (!rooms.some((room) => room.region === region && room.slots > 0)) {
-        this.#parts.delete(region);
+        this.#regions.delete(region);
       }
     }
-    const keepsHome = !this.#options.leftOut.has('keys-at-home');
+    const keepsHome = !this.#options.disabledMechanisms.has('keys-at-home');
     for (const { region, homeShare, spare } of idealParts(rooms, isMeasured, keepsHome)) {
-      const part = this.#parts.get(region) ?? { homeShare, spare };
+      const part = this.#regions.get(region) ?? { homeShare, spare };
       part.homeShare += clamp(homeShare - part.homeShare, -step, step);
       part.spare += (isFirst && !isMeasured ? 1 : SPARE_WEIGHT) * (spare - part.spare);
-      this.#parts.set(region, part);
+      this.#regions.set(region, part);
     }
   }
 
   /** Weighted rendezvous: a region is first for a part of the keys in proportion to its room. */
   #rankOf(region: string, key: string): number {
-    const weight = Math.max(LEAST_SPARE, this.#parts.get(region)?.spare ?? 0);
+    const weight = Math.max(LEAST_SPARE, this.#regions.get(region)?.spare ?? 0);
     const point = (stableHash(`${region} ${key}`) + 1) / (HASH_RANGE + 1);
     return -weight / Math.log(point);
   }
@@ -168,13 +168,13 @@
  * with all targets equally busy, or to what is comfortable where that is more.
  */
 function idealParts(
-  rooms: readonly RegionRoom[],
+  rooms: readonly RegionCapacity[],
   isMeasured: boolean,
   keepsHome: boolean,
 ): { region: string; homeShare: number; spare: number }[] {
   const present = rooms.filter(({ slots }) => slots > 0);
   const slots = present.reduce((sum, room) => sum + room.slots, 0);
-  const workOf = (room: RegionRoom): number =>
+  const workOf = (room: RegionCapacity): number =>
     isMeasured ? (room.work ?? 0) : slots / Math.max(1, present.length);
   const work = present.reduce((sum, room) => sum + workOf(room), 0);
   const load = slots === 0 ? 0 : work / slots;
--- a/packages/routing/src/former-words.ts
+++ b/packages/routing/src/removed-target-signals.ts
@@ -1,7 +1,7 @@
-import { startName } from './target-start.js';
-import type { TargetStart } from './target-start.js';
+import { incarnationId } from './target-incarnation.js';
+import type { TargetIncarnation } from './target-incarnation.js';
 import type { TargetState } from './target-state.js';
-import type { TargetWord } from './target-word.js';
+import type { TargetSignals } from './target-signals.js';
 
 /** Starts whose word is kept; the first that went are forgotten first. */
 const MOST_KEPT = 1_024;
@@ -11,11 +11,11 @@
  * the store lost it, or a host learned of it late. Such a target still leaves, rests, or has its limit. Where targets do not tell when they
  * began, the id names the start.
  */
-export class FormerWords {
-  readonly #kept = new Map<string, TargetWord>();
+export class RemovedTargetSignals {
+  readonly #kept = new Map<string, TargetSignals>();
 
   /** Its record has gone. An older one of the same start may come back, which does not know yet that the start leaves. */
-  keep({ start, word, leaving }: TargetState, now: number): void {
+  save({ incarnationId: start, signals: word, leaving }: TargetState, now: number): void {
     if (leaving) {
       word.recordLeaving();
     }
@@ -30,11 +30,11 @@
   }
 
   /** What the start said that comes back; undefined where nothing is known. */
-  take(start: TargetStart): TargetWord | undefined {
+  restore(start: TargetIncarnation): TargetSignals | undefined {
     if (this.#kept.size === 0) {
       return undefined;
     }
-    const name = startName(start);
+    const name = incarnationId(start);
     const word = this.#kept.get(name);
     this.#kept.delete(name);
     return word;
--- a/packages/routing/src/request-rate.ts
+++ b/packages/routing/src/request-rate.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@ferrylock/utils';
-import { SlidingCount } from './sliding-count.js';
+import { SlidingWindowCounter } from './sliding-window-counter.js';
 
 /** Stretch that a rate is taken over where nothing else is said: some hundred requests of a host at ordinary load. */
 const WINDOW_MILLISECONDS = 2_000;
@@ -15,7 +15,7 @@
  */
 export class RequestRate {
   readonly #clock: Clock;
-  readonly #count: SlidingCount;
+  readonly #count: SlidingWindowCounter;
   /** When the very first request came. */
   #firstAt: number | undefined;
 
@@ -24,7 +24,7 @@
     readonly windowMilliseconds = WINDOW_MILLISECONDS,
   ) {
     this.#clock = clock;
-    this.#count = new SlidingCount(clock, windowMilliseconds);
+    this.#count = new SlidingWindowCounter(clock, windowMilliseconds);
   }
 
   record(): void {
--- a/packages/routing/src/round-trips.ts
+++ b/packages/routing/src/round-trip-times.ts
@@ -5,7 +5,7 @@
  * The way to each failure domain and back, from how long connections take to come up. A longer time
  * is mostly a busy host's, so that it counts for little; a shorter one is taken at once.
  */
-export class RoundTrips {
+export class RoundTripTimes {
   readonly #byDomain = new Map<string, number>();
 
   record(failureDomain: string, milliseconds: number): void {
--- a/packages/routing/src/service-targets.ts
+++ b/packages/routing/src/service-targets.ts
@@ -1,27 +1,27 @@
 import { MovingAverage } from '@ferrylock/utils';
 import type { Clock } from '@ferrylock/utils';
-import { ColdGate } from './cold-gate.js';
-import { commonWait } from './common-wait.js';
-import type { CommonWait } from './common-wait.js';
-import { FormerWords } from './former-words.js';
-import { RetryAllowance } from './divided-limits.js';
-import type { RetryBound } from './divided-limits.js';
-import { mostLoadPerSlot } from './most-load-per-slot.js';
+import { ColdStartLimiter } from './cold-start-limiter.js';
+import { earliestAvailability } from './target-availability.js';
+import type { TargetAvailability } from './target-availability.js';
+import { RemovedTargetSignals } from './removed-target-signals.js';
+import { RetryBudget } from './retry-budget.js';
+import type { RetryBudgetSettings } from './retry-budget.js';
+import { maxLoadPerSlot } from './max-load-per-slot.js';
 import type { TargetLimits } from './limits/target-limits.js';
-import type { LeftOut } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import { RegionPlacement } from './region-placement.js';
-import type { RegionRoom } from './region-placement.js';
+import type { RegionCapacity } from './region-placement.js';
 import { RequestRate } from './request-rate.js';
-import { mostStepPerSecond } from './shift-bound.js';
-import type { OverflowAllowance, ShiftBound } from './shift-bound.js';
-import { RoundTrips } from './round-trips.js';
+import { maxStepPerSecond } from './overflow-budget.js';
+import type { OverflowBudget, RegionShiftLimit } from './overflow-budget.js';
+import { RoundTripTimes } from './round-trip-times.js';
 import type { Route, RoutedService } from './route-configuration.js';
-import type { PlacedDemand, TargetDemand } from './target-choice.js';
-import { TargetChoice } from './target-choice.js';
+import type { PlacementCriteria, SelectionCriteria } from './target-selector.js';
+import { TargetSelector } from './target-selector.js';
 import type { TargetRecord } from './target-record.js';
-import { compareStarts } from './target-start.js';
+import { compareIncarnations } from './target-incarnation.js';
 import { TargetState } from './target-state.js';
-import { WorkTimes } from './work-times.js';
+import { ProcessingTimes } from './processing-times.js';
 
 /** How long requests get a connection each after a target sent an answer to another request. */
 const DISTRUST_MILLISECONDS = 10_000;
@@ -31,35 +31,35 @@
 
 export interface ServiceTargetsOptions {
   readonly clock: Clock;
-  readonly retryBound: RetryBound;
+  readonly retryBudget: RetryBudgetSettings;
   /** Region of each failure domain. */
   readonly regionOf: (failureDomain: string) => string;
   readonly ownRegion: string;
   /** Whether a failure domain is being emptied. */
   readonly isEvacuated: (failureDomain: string) => boolean;
-  readonly shiftBound: ShiftBound;
+  readonly regionShiftLimit: RegionShiftLimit;
   /** Of all services of this host together, as the bound on shifts counts them. */
-  readonly overflows: OverflowAllowance;
+  readonly overflows: OverflowBudget;
   /** Of all services of this host together. */
-  readonly limits: Pick<TargetLimits, 'take' | 'waitMilliseconds'>;
-  readonly leftOut: LeftOut;
+  readonly limits: Pick<TargetLimits, 'tryAcquire' | 'waitMilliseconds'>;
+  readonly disabledMechanisms: DisabledMechanisms;
 }
 
 /** A request that looks for a target. */
-export interface SeekingRequest {
+export interface SelectionRequest {
   readonly route: Route;
   readonly key: string;
   /** Targets that were tried for it already. */
   readonly tried: ReadonlySet<string>;
   /** Largest priority number of all routes. */
-  readonly leastUrgent: number;
+  readonly lowestPriority: number;
   readonly ownName: string;
   /** Hosts that may send to a cold target; the same array while nothing changes. */
   readonly coldSenders: readonly string[];
 }
 
 /** An answer by a target that ran the request. */
-export interface TargetAnswered {
+export interface ObservedResponse {
   readonly route: Route;
   readonly key: string;
   /** From the send to the whole answer. */
@@ -74,19 +74,19 @@
 /** One service's targets, how to choose among them, and what its requests may draw on. */
 export class ServiceTargets {
   readonly targets = new Map<string, TargetState>();
-  readonly choice: TargetChoice;
+  readonly selector: TargetSelector;
   readonly placement: RegionPlacement;
-  readonly roundTrips = new RoundTrips();
-  readonly retries: RetryAllowance;
-  readonly coldGate: ColdGate;
+  readonly roundTripTimes = new RoundTripTimes();
+  readonly retryBudget: RetryBudget;
+  readonly coldStartLimiter: ColdStartLimiter;
   /** Requests of this host's callers. */
-  readonly asked: RequestRate;
+  readonly requestRate: RequestRate;
   /** Absent while no configuration names the service. */
   settings: RoutedService | undefined;
   readonly #options: ServiceTargetsOptions;
   readonly #run = new MovingAverage(RUN_WEIGHT);
-  readonly #workOfRoute = new Map<string, WorkTimes>();
-  readonly #formerWords = new FormerWords();
+  readonly #workOfRoute = new Map<string, ProcessingTimes>();
+  readonly #formerWords = new RemovedTargetSignals();
   #distrustedUntil = -Infinity;
 
   constructor(
@@ -96,25 +96,25 @@
     this.#options = options;
     this.placement = new RegionPlacement({
       ...options,
-      mostStepPerSecond: mostStepPerSecond(options.shiftBound),
+      maxStepPerSecond: maxStepPerSecond(options.regionShiftLimit),
     });
-    this.choice = new TargetChoice({
+    this.selector = new TargetSelector({
       ...options,
       placement: this.placement,
-      roundTripMilliseconds: ({ record }) => this.roundTrips.of(record.failureDomain),
+      roundTripMilliseconds: ({ record }) => this.roundTripTimes.of(record.failureDomain),
     });
-    this.retries = new RetryAllowance(options.clock, options.retryBound);
-    this.coldGate = new ColdGate(options.clock);
-    this.asked = new RequestRate(options.clock);
+    this.retryBudget = new RetryBudget(options.clock, options.retryBudget);
+    this.coldStartLimiter = new ColdStartLimiter(options.clock);
+    this.requestRate = new RequestRate(options.clock);
   }
 
   /** Whether a record is of an earlier start than the known one, or was written earlier by the same. */
-  isOldNews(record: TargetRecord): boolean {
+  isStale(record: TargetRecord): boolean {
     const known = this.targets.get(record.id)?.record;
     if (known === undefined || record.bornAt === undefined) {
       return false;
     }
-    const start = compareStarts(record, known);
+    const start = compareIncarnations(record, known);
     return start === 'earlier' || (start === 'same' && isWrittenBefore(record, known));
   }
 
@@ -128,7 +128,7 @@
       this.#add(record);
       return 'added';
     }
-    if (compareStarts(record, known.record) === 'later') {
+    if (compareIncarnations(record, known.record) === 'later') {
       this.remove(record.id);
       this.#add(record);
       return 'reborn';
@@ -138,10 +138,10 @@
   }
 
   #add(record: TargetRecord): void {
-    const word = this.#formerWords.take(record);
+    const word = this.#formerWords.restore(record);
     const added = new TargetState(record, this.#options.clock.now(), word);
     this.targets.set(record.id, added);
-    this.choice.add(added);
+    this.selector.add(added);
     this.placement.addRegion(this.#options.regionOf(record.failureDomain));
   }
 
@@ -151,26 +151,30 @@
       return;
     }
     this.targets.delete(id);
-    this.#formerWords.keep(target, this.#options.clock.now());
-    this.coldGate.forget(target.start);
-    this.choice.remove(target);
+    this.#formerWords.save(target, this.#options.clock.now());
+    this.coldStartLimiter.forget(target.incarnationId);
+    this.selector.remove(target);
   }
 
   /** The target to send a request to now, or undefined where none may take it. */
-  choose(request: SeekingRequest): TargetState | undefined {
-    const { route, key, tried, leastUrgent } = request;
+  select(request: SelectionRequest): TargetState | undefined {
+    const { route, key, tried, lowestPriority: leastUrgent } = request;
     if (this.placement.isEmpty) {
-      this.place(() => undefined);
+      this.updatePlacement(() => undefined);
     }
     const work = this.#workOf(route);
     const demand = {
       key,
       homeRegions: route.homeRegions,
       tried,
-      mostLoadPerSlot: mostLoadPerSlot({ route, runMilliseconds: this.#run.value, leastUrgent }),
-      staysNear: route.kind === 'upload',
-      workMilliseconds: work.knownMilliseconds,
-      extraMilliseconds: work.extraMilliseconds,
+      maxLoadPerSlot: maxLoadPerSlot({
+        route,
+        processingMilliseconds: this.#run.value,
+        lowestPriority: leastUrgent,
+      }),
+      prefersOwnRegion: route.kind === 'upload',
+      processingMilliseconds: work.hitMilliseconds,
+      missPenaltyMilliseconds: work.missPenaltyMilliseconds,
       mayOverflow: this.#options.overflows.hasRoom,
     };
     const chosen = this.#chooseInLimits(demand, request);
@@ -182,11 +186,11 @@
    * Whatever a target is chosen for, it gets no request beyond this host's part of a limit that it names: it is left out
    * of this choice then, as if it rested. What it would have got is counted as asked of it.
    */
-  #chooseInLimits(demand: TargetDemand, request: SeekingRequest): TargetState | undefined {
+  #chooseInLimits(demand: SelectionCriteria, request: SelectionRequest): TargetState | undefined {
     const { limits } = this.#options;
     let { tried } = demand;
     let chosen = this.#chooseUnlimited(demand, request);
-    while (chosen !== undefined && !limits.take(chosen)) {
+    while (chosen !== undefined && !limits.tryAcquire(chosen)) {
       tried = new Set([...tried, chosen.id]);
       chosen = this.#chooseUnlimited({ ...demand, tried }, request);
     }
@@ -194,12 +198,12 @@
   }
 
   #chooseUnlimited(
-    demand: TargetDemand,
-    { ownName, coldSenders }: SeekingRequest,
+    demand: SelectionCriteria,
+    { ownName, coldSenders }: SelectionRequest,
   ): TargetState | undefined {
-    return this.choice.choose(demand, this.#options.clock.now(), (target) =>
-      this.coldGate.tryTake({
-        target: target.start,
+    return this.selector.select(demand, this.#options.clock.now(), (target) =>
+      this.coldStartLimiter.tryAcquire({
+        target: target.incarnationId,
         requestsPerSecond: this.settings?.coldRequestsPerSecond ?? Infinity,
         ownName,
         hosts: coldSenders,
@@ -208,11 +212,11 @@
   }
 
   /** Counts requests that leave the region that they prefer. */
-  #countOverflow(demand: PlacedDemand, chosen: TargetState | undefined): void {
+  #countOverflow(demand: PlacementCriteria, chosen: TargetState | undefined): void {
     const { regionOf, overflows } = this.#options;
     const region = chosen === undefined ? undefined : regionOf(chosen.record.failureDomain);
     overflows.recordRequest();
-    if (region !== undefined && region !== this.choice.regionsFor(demand)[0]) {
+    if (region !== undefined && region !== this.selector.regionsFor(demand)[0]) {
       overflows.recordOverflow();
     }
   }
@@ -222,21 +226,33 @@
    * caller that comes back then finds room, if no more come than before. Undefined before the first
    * answer.
    */
-  clearingMilliseconds(route: Route, leastUrgent: number): number | undefined {
+  backlogMilliseconds(route: Route, leastUrgent: number): number | undefined {
     const runMilliseconds = this.#run.value;
     return runMilliseconds === undefined
       ? undefined
-      : runMilliseconds * mostLoadPerSlot({ route, runMilliseconds, leastUrgent });
+      : runMilliseconds *
+          maxLoadPerSlot({
+            route,
+            processingMilliseconds: runMilliseconds,
+            lowestPriority: leastUrgent,
+          });
   }
 
   /** Where all targets that may take a request of this route rest, or have their limit used up: until when. */
-  commonWait({ homeRegions }: Pick<Route, 'homeRegions'>): CommonWait | undefined {
-    const { clock, regionOf, isEvacuated, limits, leftOut } = this.#options;
+  earliestAvailability({
+    homeRegions,
+  }: Pick<Route, 'homeRegions'>): TargetAvailability | undefined {
+    const { clock, regionOf, isEvacuated, limits, disabledMechanisms: leftOut } = this.#options;
     const mayTake = ({ leaving, record: { failureDomain } }: TargetState): boolean =>
       !leaving &&
       !isEvacuated(failureDomain) &&
       (homeRegions.length === 0 || homeRegions.includes(regionOf(failureDomain)));
-    return commonWait(this.targets.values(), { now: clock.now(), mayTake, limits, leftOut });
+    return earliestAvailability(this.targets.values(), {
+      now: clock.now(),
+      mayTake,
+      limits,
+      disabledMechanisms: leftOut,
+    });
   }
 
   /**
@@ -245,19 +261,19 @@
    * @returns for how long the target is now left alone, in milliseconds
    */
   recordFailure(target: TargetState): number {
-    const { clock, leftOut } = this.#options;
+    const { clock, disabledMechanisms: leftOut } = this.#options;
     return leftOut.has('ejection') ? 0 : target.recordFailure(clock.now());
   }
 
   /** Learns from an answer how long work takes, and that the target knows the object. */
-  recordAnswer(target: TargetState, answered: TargetAnswered): void {
+  recordResponse(target: TargetState, answered: ObservedResponse): void {
     const { route, key, milliseconds, loadPerSlot } = answered;
     const now = this.#options.clock.now();
-    const way = this.roundTrips.of(target.record.failureDomain);
+    const way = this.roundTripTimes.of(target.record.failureDomain);
     const worked = Math.max(1, milliseconds - way) / Math.max(1, loadPerSlot);
-    this.#workOf(route).record(worked, target.isFamiliar(key, now));
+    this.#workOf(route).record(worked, target.hasCached(key, now));
     this.#run.add(worked);
-    target.recordAnswer(key, now);
+    target.recordResponse(key, now);
   }
 
   /**
@@ -266,12 +282,12 @@
    * @param requestsPerSecond - what a region's callers ask of this service; undefined where that is
    *   not known
    */
-  place(requestsPerSecond: (region: string) => number | undefined): void {
+  updatePlacement(requestsPerSecond: (region: string) => number | undefined): void {
     this.placement.update(this.#rooms(requestsPerSecond), this.#options.clock.now());
   }
 
   /** Whether connections to its targets may carry bytes that belong to no request. */
-  get isDistrusted(): boolean {
+  get isConnectionReuseDisabled(): boolean {
     return this.#options.clock.now() < this.#distrustedUntil;
   }
 
@@ -280,14 +296,14 @@
    *
    * @returns whether its connections were trusted until now
    */
-  distrust(): boolean {
-    const wasTrusted = !this.isDistrusted;
+  disableConnectionReuse(): boolean {
+    const wasTrusted = !this.isConnectionReuseDisabled;
     this.#distrustedUntil = this.#options.clock.now() + DISTRUST_MILLISECONDS;
     return wasTrusted;
   }
 
-  #rooms(requestsPerSecond: (region: string) => number | undefined): RegionRoom[] {
-    const { regionOf, isEvacuated, leftOut, clock } = this.#options;
+  #rooms(requestsPerSecond: (region: string) => number | undefined): RegionCapacity[] {
+    const { regionOf, isEvacuated, disabledMechanisms: leftOut, clock } = this.#options;
     const now = clock.now();
     const slots = new Map<string, number>();
     for (const target of this.targets.values()) {
@@ -305,8 +321,8 @@
     });
   }
 
-  #workOf({ name }: Route): WorkTimes {
-    const known = this.#workOfRoute.get(name) ?? new WorkTimes();
+  #workOf({ name }: Route): ProcessingTimes {
+    const known = this.#workOfRoute.get(name) ?? new ProcessingTimes();
     this.#workOfRoute.set(name, known);
     return known;
   }
--- a/packages/routing/src/sliding-count.ts
+++ b/packages/routing/src/sliding-window-counter.ts
@@ -4,7 +4,7 @@
 const BUCKETS = 10;
 
 /** Counts what happened in the last stretch of time, in buckets; the oldest goes as a whole. */
-export class SlidingCount {
+export class SlidingWindowCounter {
   readonly #counts: number[];
   readonly #bucketMilliseconds: number;
   #bucket = 0;
--- a/packages/routing/src/suspects/suspect-table.ts
+++ b/packages/routing/src/suspects/suspect-table.ts
@@ -5,13 +5,13 @@
  * a look-up that happens to be at one target that ends is sent to a second at once, and where several end at the
  * same moment both may. Each further one costs a target.
  */
-export const ENDS_OF_SUSPECT = 3;
+export const SUSPECT_CRASHES = 3;
 /**
  * Answers to a request that take back the ends before them. With one, a request that ends targets in a quarter of its
  * runs ended 124 at 12 hosts (three times 30 s), with two 92, with three 85; where a third of the targets crash every
  * 3 s, 12, 22 and 69 of 31,000 ordinary requests were turned away. In an emulated fleet.
  */
-export const ANSWERS_TO_TAKE_BACK = 2;
+export const RESPONSES_TO_CLEAR = 2;
 /** How long an end counts after the request was last at a target that ended, or was last asked for. */
 const KEPT_MILLISECONDS = 600_000;
 /**
@@ -22,7 +22,7 @@
 /** Ends that are kept of one request: enough for it to stay a suspect where a few are taken back. */
 const MOST_ENDS = 8;
 /** Characters at the beginning of a fingerprint that most other requests do not share. */
-export const FINGERPRINT_HEAD_CHARACTERS = 7;
+export const FINGERPRINT_PREFIX_LENGTH = 7;
 /** How long news is told with each message: several rounds, so that one may be lost. */
 const NEWS_MILLISECONDS = 3_000;
 /** Requests whose news goes with one message, those with most ends first: 3 KB at most, mostly under 1 KB. */
@@ -33,23 +33,23 @@
 const FEWEST_REMINDED = 2;
 
 /** The end of a target that had a request. */
-export interface SuspectEnd {
+export interface SuspectCrash {
   /** The start of the target that ended. */
   readonly target: string;
   readonly ageMilliseconds: number;
   /** Answers to the request after it, as far as they count; enough of them take the end back. */
-  readonly answers: number;
+  readonly responses: number;
 }
 
 /** A request that was at targets when they ended, as hosts tell one another. */
-export interface ToldSuspect {
+export interface SuspectReport {
   readonly fingerprint: string;
-  readonly ends: readonly SuspectEnd[];
+  readonly crashes: readonly SuspectCrash[];
 }
 
 interface SeenEnd {
   at: number;
-  answers: number;
+  responses: number;
 }
 
 interface WatchedRequest {
@@ -89,7 +89,7 @@
   }
 
   /** Whether some fingerprint that is known begins like this. */
-  hasHead(head: string): boolean {
+  hasPrefix(head: string): boolean {
     return this.#heads.has(head);
   }
 
@@ -98,25 +98,25 @@
   }
 
   isSuspect(fingerprint: string): boolean {
-    return this.#countedOf(fingerprint) >= ENDS_OF_SUSPECT;
+    return this.#countedOf(fingerprint) >= SUSPECT_CRASHES;
   }
 
   /** Targets that ended under a request and that no answer has taken back since. */
-  endsOf(fingerprint: string): string[] {
+  crashesOf(fingerprint: string): string[] {
     const ends = this.#requests.get(fingerprint)?.ends ?? [];
     return [...ends].flatMap(([target, end]) => (isTakenBack(end) ? [] : [target]));
   }
 
   /** When a target last ended under a request, as far as is known here. */
-  lastEndAt(fingerprint: string): number {
+  lastCrashAt(fingerprint: string): number {
     const ends = this.#requests.get(fingerprint)?.ends.values() ?? [];
     return [...ends].reduce((latest, { at }) => Math.max(latest, at), -Infinity);
   }
 
   /** A target ended that had the request; tells whether that was news. */
-  recordEnd(fingerprint: string, target: string): boolean {
-    const end = { target, ageMilliseconds: 0, answers: 0 };
-    return this.#merge({ fingerprint, ends: [end] }, true);
+  recordCrash(fingerprint: string, target: string): boolean {
+    const end = { target, ageMilliseconds: 0, responses: 0 };
+    return this.#merge({ fingerprint, crashes: [end] }, true);
   }
 
   /**
@@ -124,24 +124,24 @@
    *
    * @param answers - for how many answers it counts
    */
-  recordAnswer(fingerprint: string, answers = 1): boolean {
+  recordResponse(fingerprint: string, answers = 1): boolean {
     return this.#takeBack(fingerprint, answers, () => true);
   }
 
   /** A target that was taken to have ended lives. */
-  recordLife(target: string): void {
+  recordAlive(target: string): void {
     for (const fingerprint of this.#requests.keys()) {
-      this.#takeBack(fingerprint, ANSWERS_TO_TAKE_BACK, (ended) => ended === target);
+      this.#takeBack(fingerprint, RESPONSES_TO_CLEAR, (ended) => ended === target);
     }
   }
 
   /** When a target last ended under a request, or it was last asked for. */
-  keptFrom(fingerprint: string): number {
+  lastActivityAt(fingerprint: string): number {
     return this.#requests.get(fingerprint)?.keptFrom ?? -Infinity;
   }
 
   /** It is still asked for. */
-  recordAsked(fingerprint: string): void {
+  recordArrival(fingerprint: string): void {
     const watched = this.#requests.get(fingerprint);
     if (watched !== undefined) {
       watched.keptFrom = this.#clock.now();
@@ -149,13 +149,13 @@
   }
 
   /** Takes what another host tells; tells whether there was news of a request with two ends or more. */
-  take(told: readonly ToldSuspect[]): boolean {
+  merge(told: readonly SuspectReport[]): boolean {
     const news = told.filter((suspect) => this.#merge(suspect, false));
     return news.some(({ fingerprint }) => this.#countedOf(fingerprint) >= FEWEST_REMINDED);
   }
 
   /** What to tell others now. */
-  tell(which: 'own' | 'all'): ToldSuspect[] {
+  report(which: 'own' | 'all'): SuspectReport[] {
     const now = this.#clock.now();
     const isNews = ({ changedAt, isOwnNews }: WatchedRequest): boolean =>
       now - changedAt < NEWS_MILLISECONDS && (isOwnNews || which === 'all');
@@ -188,7 +188,7 @@
     return this.#requests.get(fingerprint)?.counted ?? 0;
   }
 
-  #merge({ fingerprint, ends }: ToldSuspect, isOwnNews: boolean): boolean {
+  #merge({ fingerprint, crashes: ends }: SuspectReport, isOwnNews: boolean): boolean {
     const now = this.#clock.now();
     const recent = ends.filter(({ ageMilliseconds }) => ageMilliseconds < KEPT_MILLISECONDS);
     const isKnown = this.#requests.has(fingerprint);
@@ -239,7 +239,7 @@
       return false;
     }
     for (const [, end] of meant) {
-      end.answers += answers;
+      end.responses += answers;
     }
     watched.counted = countEnds(watched);
     watched.changedAt = this.#clock.now();
@@ -292,14 +292,14 @@
     });
   }
 
-  #describe(fingerprint: string, now: number): ToldSuspect {
+  #describe(fingerprint: string, now: number): SuspectReport {
     const ends = [...(this.#requests.get(fingerprint)?.ends ?? [])];
     return {
       fingerprint,
-      ends: ends.map(([target, { at, answers }]) => ({
+      crashes: ends.map(([target, { at, responses: answers }]) => ({
         target,
         ageMilliseconds: now - at,
-        answers,
+        responses: answers,
       })),
     };
   }
@@ -313,17 +313,17 @@
 }
 
 function headOf(fingerprint: string): string {
-  return fingerprint.slice(0, FINGERPRINT_HEAD_CHARACTERS);
+  return fingerprint.slice(0, FINGERPRINT_PREFIX_LENGTH);
 }
 
 /** Adds an end, or takes it back; tells whether either was new. */
-function mergeEnd(watched: WatchedRequest, end: SuspectEnd, now: number): boolean {
-  const { target, ageMilliseconds, answers } = end;
+function mergeEnd(watched: WatchedRequest, end: SuspectCrash, now: number): boolean {
+  const { target, ageMilliseconds, responses: answers } = end;
   const { ends } = watched;
   const known = ends.get(target);
   if (known !== undefined) {
-    const isNews = answers > known.answers;
-    known.answers = Math.max(known.answers, answers);
+    const isNews = answers > known.responses;
+    known.responses = Math.max(known.responses, answers);
     // News takes time on its way: the earliest that is heard of is the truest, however often it is passed on.
     known.at = Math.min(known.at, now - ageMilliseconds);
     return isNews;
@@ -332,19 +332,19 @@
     return false;
   }
   const at = now - ageMilliseconds;
-  ends.set(target, { at, answers });
+  ends.set(target, { at, responses: answers });
   watched.keptFrom = Math.max(watched.keptFrom, at);
   return true;
 }
 
 /** Puts an end that counts in the place of one that was taken back; more than enough to be a suspect are not kept. */
-function makeRoomFor(end: SuspectEnd, ends: Map<string, SeenEnd>): boolean {
+function makeRoomFor(end: SuspectCrash, ends: Map<string, SeenEnd>): boolean {
   const [target] = [...ends].find(([, known]) => isTakenBack(known)) ?? [];
   return !isTakenBack(end) && target !== undefined && ends.delete(target);
 }
 
-function isTakenBack({ answers }: Pick<SeenEnd, 'answers'>): boolean {
-  return answers >= ANSWERS_TO_TAKE_BACK;
+function isTakenBack({ responses: answers }: Pick<SeenEnd, 'responses'>): boolean {
+  return answers >= RESPONSES_TO_CLEAR;
 }
 
 function countEnds({ ends }: WatchedRequest): number {
--- a/packages/routing/src/common-wait.ts
+++ b/packages/routing/src/target-availability.ts
@@ -1,12 +1,12 @@
 import type { TargetLimits } from './limits/target-limits.js';
-import type { LeftOut } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import type { TargetState } from './target-state.js';
 
 /** Targets that a refused request's line names as the cause. */
 const MOST_NAMED = 4;
 
 /** All targets that might take a request have asked this host for rest, or get as many as they named. */
-export interface CommonWait {
+export interface TargetAvailability {
   /** Until the first of them takes a request. */
   readonly milliseconds: number;
   /** The first few that rest. */
@@ -15,12 +15,12 @@
   readonly limited: readonly string[];
 }
 
-export interface CommonWaitOptions {
+export interface TargetAvailabilityOptions {
   readonly now: number;
   /** Whether a target might take the request, but for its rest and its limit. */
   readonly mayTake: (target: TargetState) => boolean;
   readonly limits: Pick<TargetLimits, 'waitMilliseconds'>;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
 }
 
 interface Waiting {
@@ -30,17 +30,17 @@
 }
 
 /** The wait that all targets have in common which might take a request; the first that takes one now ends the look. */
-export function commonWait(
+export function earliestAvailability(
   targets: Iterable<TargetState>,
-  { now, mayTake, limits, leftOut }: CommonWaitOptions,
-): CommonWait | undefined {
+  { now, mayTake, limits, disabledMechanisms: leftOut }: TargetAvailabilityOptions,
+): TargetAvailability | undefined {
   const waiting: Waiting[] = [];
   for (const target of targets) {
     if (!mayTake(target)) {
       continue;
     }
     const isResting = target.isResting(now, leftOut);
-    const rest = isResting ? target.word.restsUntil - now : 0;
+    const rest = isResting ? target.signals.restsUntil - now : 0;
     const milliseconds = Math.max(rest, limits.waitMilliseconds(target));
     if (milliseconds <= 0) {
       return undefined;
--- a/packages/routing/src/key-order.ts
+++ b/packages/routing/src/target-ranking.ts
@@ -1,4 +1,4 @@
-import { mixedHash, stableHash } from '@ferrylock/utils';
+import { combineHashes, stableHash } from '@ferrylock/utils';
 import type { TargetState } from './target-state.js';
 
 /** Keys whose order is kept; the first made go first. */
@@ -9,7 +9,7 @@
 const FEWEST_KEPT = 6;
 
 /** Targets of each region in a key's order. */
-export type KeyRanks = ReadonlyMap<string, readonly TargetState[]>;
+export type RankedTargets = ReadonlyMap<string, readonly TargetState[]>;
 
 /** A target with its weight for one key; the heaviest comes first. */
 interface Ranked {
@@ -30,7 +30,7 @@
  * hashing, so that a target's coming or going moves only the keys that it gains or loses. What is
  * kept follows a coming target at one hash a key, and not at one for each key and target.
  */
-export class KeyOrder {
+export class TargetRanking {
   readonly #regionOf: (target: TargetState) => string;
   readonly #members = new Map<string, TargetState[]>();
   readonly #kept = new Map<string, KeptOrder>();
@@ -45,7 +45,7 @@
     members.push(target);
     this.#members.set(region, members);
     for (const order of this.#kept.values()) {
-      const weight = mixedHash(order.keyHash, target.idHash);
+      const weight = combineHashes(order.keyHash, target.idHash);
       insert(order, region, { target, weight }, members.length);
     }
   }
@@ -66,7 +66,7 @@
   }
 
   /** The first targets of each region. */
-  ranksOf(key: string): KeyRanks {
+  ranksOf(key: string): RankedTargets {
     const known = this.#kept.get(key);
     if (known !== undefined) {
       return known.targets;
@@ -82,7 +82,7 @@
   }
 
   /** All targets of each region, for when the first ones do not suffice. */
-  allRanksOf(key: string): KeyRanks {
+  allRanksOf(key: string): RankedTargets {
     const ranks = this.ranksOf(key);
     const isWhole = [...this.#members].every(
       ([region, members]) => members.length === (ranks.get(region)?.length ?? 0),
@@ -95,7 +95,7 @@
     for (const [region, members] of this.#members) {
       const ranked = members.map((target) => ({
         target,
-        weight: mixedHash(keyHash, target.idHash),
+        weight: combineHashes(keyHash, target.idHash),
       }));
       ranks.set(region, ranked.sort(compare).slice(0, most));
     }
--- a/packages/routing/src/target-choice.ts
+++ b/packages/routing/src/target-selector.ts
@@ -1,6 +1,6 @@
-import { KeyOrder } from './key-order.js';
-import type { KeyRanks } from './key-order.js';
-import type { LeftOut } from './mechanisms.js';
+import { TargetRanking } from './target-ranking.js';
+import type { RankedTargets } from './target-ranking.js';
+import type { DisabledMechanisms } from './mechanisms.js';
 import type { RegionPlacement } from './region-placement.js';
 import type { TargetState } from './target-state.js';
 
@@ -15,7 +15,7 @@
 const PRESUMED_EXTRA = 1;
 
 /** What a choice of target depends on, besides the targets. */
-export interface TargetDemand {
+export interface SelectionCriteria {
   /** Names the object that the request is about; the same name prefers the same targets. */
   readonly key: string;
   /** Regions whose targets may serve it; empty where any may. */
@@ -23,21 +23,21 @@
   /** Targets that were tried for this request already. */
   readonly tried: ReadonlySet<string>;
   /** Most requests, running and waiting, that a target may have for each of its slots. */
-  readonly mostLoadPerSlot: number;
+  readonly maxLoadPerSlot: number;
   /** Whether its bytes make the way between regions dear: the own region comes first if it has room. */
-  readonly staysNear: boolean;
+  readonly prefersOwnRegion: boolean;
   /** How long work on a known object takes; undefined before the first answer. */
-  readonly workMilliseconds: number | undefined;
+  readonly processingMilliseconds: number | undefined;
   /** How much longer work on an unknown object takes; undefined while that is not known. */
-  readonly extraMilliseconds: number | undefined;
+  readonly missPenaltyMilliseconds: number | undefined;
   /** Whether it may leave its key's region because of a wait. */
   readonly mayOverflow: boolean;
 }
 
 /** What decides in which regions a request may be served. */
-export type PlacedDemand = Pick<TargetDemand, 'key' | 'homeRegions' | 'staysNear'>;
+export type PlacementCriteria = Pick<SelectionCriteria, 'key' | 'homeRegions' | 'prefersOwnRegion'>;
 
-export interface TargetChoiceOptions {
+export interface TargetSelectorOptions {
   /** Region of each failure domain. */
   readonly regionOf: (failureDomain: string) => string;
   /** Region of this entry host. */
@@ -47,7 +47,7 @@
   readonly placement: RegionPlacement;
   /** The way to a target's failure domain and back, in milliseconds. */
   readonly roundTripMilliseconds: (target: TargetState) => number;
-  readonly leftOut: LeftOut;
+  readonly disabledMechanisms: DisabledMechanisms;
 }
 
 /** A target that a request may go to, and when its answer is expected there. */
@@ -63,13 +63,13 @@
  * know the object or are to know it. Every entry host ranks a key's targets the same way, so that
  * they agree on these without a message.
  */
-export class TargetChoice {
-  readonly #options: TargetChoiceOptions;
-  readonly #order: KeyOrder;
+export class TargetSelector {
+  readonly #options: TargetSelectorOptions;
+  readonly #order: TargetRanking;
 
-  constructor(options: TargetChoiceOptions) {
+  constructor(options: TargetSelectorOptions) {
     this.#options = options;
-    this.#order = new KeyOrder((target) => this.#regionOf(target));
+    this.#order = new TargetRanking((target) => this.#regionOf(target));
   }
 
   /** A target may be chosen from now on. */
@@ -87,8 +87,8 @@
    *
    * @param mayUseCold - asked before a target that has just started, and is slow, is chosen
    */
-  choose(
-    demand: TargetDemand,
+  select(
+    demand: SelectionCriteria,
     now: number,
     mayUseCold: (target: TargetState) => boolean,
   ): TargetState | undefined {
@@ -108,13 +108,13 @@
   }
 
   /** Regions in the order in which they are preferred. */
-  regionsFor({ key, homeRegions, staysNear }: PlacedDemand): string[] {
+  regionsFor({ key, homeRegions, prefersOwnRegion: staysNear }: PlacementCriteria): string[] {
     const { placement, ownRegion } = this.#options;
-    const order = placement.orderOf(key);
+    const order = placement.regionOrder(key);
     const allowed = order.filter(
       (region) => homeRegions.length === 0 || homeRegions.includes(region),
     );
-    return staysNear && allowed.includes(ownRegion) && placement.isNear(ownRegion, key)
+    return staysNear && allowed.includes(ownRegion) && placement.prefersLocal(ownRegion, key)
       ? [ownRegion, ...allowed.filter((region) => region !== ownRegion)]
       : allowed;
   }
@@ -124,9 +124,9 @@
    * the object is known. The others are tried only where the preferred region has none.
    */
   #candidates(
-    demand: TargetDemand,
+    demand: SelectionCriteria,
     regions: readonly string[],
-    ranks: KeyRanks,
+    ranks: RankedTargets,
     now: number,
   ): Candidate[] {
     const candidates: Candidate[] = [];
@@ -146,28 +146,28 @@
     return candidates;
   }
 
-  #copies(isPreferred: boolean, { mayOverflow }: TargetDemand): number {
+  #copies(isPreferred: boolean, { mayOverflow }: SelectionCriteria): number {
     if (isPreferred) {
-      return this.#options.leftOut.has('second-copy') ? 1 : COPIES;
+      return this.#options.disabledMechanisms.has('second-copy') ? 1 : COPIES;
     }
-    return mayOverflow && !this.#options.leftOut.has('other-regions') ? 1 : 0;
+    return mayOverflow && !this.#options.disabledMechanisms.has('other-regions') ? 1 : 0;
   }
 
   /** Whether a region serves the key for its own callers, so that it is known there. */
-  #isKept(region: string, { key }: TargetDemand): boolean {
-    return this.#options.placement.isAtHome(region, key);
+  #isKept(region: string, { key }: SelectionCriteria): boolean {
+    return this.#options.placement.isServedLocally(region, key);
   }
 
   /** When an answer is expected: way, wait for a slot, and work, longer on an unknown object. */
   #candidate(
     target: TargetState,
-    demand: TargetDemand,
+    demand: SelectionCriteria,
     isPresumed: boolean,
     now: number,
   ): Candidate {
-    const { workMilliseconds: work = 1, key } = demand;
-    const extra = demand.extraMilliseconds ?? PRESUMED_EXTRA * work;
-    const isKnown = isPresumed || target.isFamiliar(key, now);
+    const { processingMilliseconds: work = 1, key } = demand;
+    const extra = demand.missPenaltyMilliseconds ?? PRESUMED_EXTRA * work;
+    const isKnown = isPresumed || target.hasCached(key, now);
     const { slots } = target.record;
     const wait = (work / slots) * Math.max(0, this.#load(target, now) + 1 - slots);
     const price = isKnown ? 0 : extra;
@@ -175,7 +175,7 @@
     return {
       target,
       milliseconds: way + wait + work + price,
-      mostLoadPerSlot: isKnown ? demand.mostLoadPerSlot : SPILL_LOAD_PER_SLOT,
+      mostLoadPerSlot: isKnown ? demand.maxLoadPerSlot : SPILL_LOAD_PER_SLOT,
     };
   }
 
@@ -192,7 +192,7 @@
   }
 
   #cold(
-    demand: TargetDemand,
+    demand: SelectionCriteria,
     regions: readonly string[],
     now: number,
     mayUseCold: (target: TargetState) => boolean,
@@ -204,7 +204,7 @@
 
   /** Where all fail, one of them is tried: most of a service failing is rather a fault elsewhere. */
   #leastLoadedOfAny(
-    demand: TargetDemand,
+    demand: SelectionCriteria,
     regions: readonly string[],
     now: number,
   ): TargetState | undefined {
@@ -215,18 +215,18 @@
       failing.map((target) => ({
         target,
         milliseconds: this.#load(target, now),
-        mostLoadPerSlot: demand.mostLoadPerSlot,
+        mostLoadPerSlot: demand.maxLoadPerSlot,
       })),
       now,
     );
   }
 
-  #inOrder({ key }: TargetDemand, regions: readonly string[]): TargetState[] {
+  #inOrder({ key }: SelectionCriteria, regions: readonly string[]): TargetState[] {
     const ranks = this.#order.allRanksOf(key);
     return regions.flatMap((region) => ranks.get(region) ?? []);
   }
 
-  #isSound(target: TargetState, demand: TargetDemand, now: number): boolean {
+  #isSound(target: TargetState, demand: SelectionCriteria, now: number): boolean {
     return this.#isUsable(target, demand, now) && !target.isCold(now) && !target.isEjected(now);
   }
 
@@ -235,17 +235,17 @@
    * target that asked for rest is in none of them, unlike one that failed: up to 17 requests of one host reached it in
    * a rest of 3 s before, now none (measured on emulated fleets of 10 to 65 hosts).
    */
-  #isUsable(target: TargetState, { tried }: TargetDemand, now: number): boolean {
+  #isUsable(target: TargetState, { tried }: SelectionCriteria, now: number): boolean {
     return (
       !target.leaving &&
-      !target.isResting(now, this.#options.leftOut) &&
+      !target.isResting(now, this.#options.disabledMechanisms) &&
       !tried.has(target.id) &&
       !this.#options.isEvacuated(target.record.failureDomain)
     );
   }
 
   #load(target: TargetState, now: number): number {
-    return target.load(now, this.#options.leftOut);
+    return target.load(now, this.#options.disabledMechanisms);
   }
 
   #regionOf(target: TargetState): string {
--- a/packages/routing/src/target-word.ts
+++ b/packages/routing/src/target-signals.ts
@@ -1,4 +1,4 @@
-import { LimitWord } from './limits/limit-word.js';
+import { AdvertisedLimit } from './limits/advertised-limit.js';
 
 /**
  * Longest that a target is left alone at its word, in milliseconds; then it may be asked again, and says so again if it still wants
@@ -10,9 +10,9 @@
  * What a start of a target has said of itself in its answers to this host. No record takes it back that was written before. A later
  * answer that says less takes back its limit alone; that it leaves, and its rest, hold all the same.
  */
-export class TargetWord {
+export class TargetSignals {
   /** How many requests it takes from all hosts together. */
-  readonly limit = new LimitWord();
+  readonly limit = new AdvertisedLimit();
   #isLeaving = false;
   #restsUntil = -Infinity;
 
--- a/packages/routing/src/target-state.ts
+++ b/packages/routing/src/target-state.ts
@@ -1,9 +1,9 @@
 import { stableHash } from '@ferrylock/utils';
-import type { LeftOut } from './mechanisms.js';
-import { NOTHING_LEFT_OUT } from './mechanisms.js';
+import type { DisabledMechanisms } from './mechanisms.js';
+import { NO_DISABLED_MECHANISMS } from './mechanisms.js';
 import type { TargetRecord } from './target-record.js';
-import { startName } from './target-start.js';
-import { TargetWord } from './target-word.js';
+import { incarnationId } from './target-incarnation.js';
+import { TargetSignals } from './target-signals.js';
 
 /** How long a load that the target itself told is taken as a lower bound of the present one. */
 const LOAD_REPORT_LIFE_MILLISECONDS = 150;
@@ -22,17 +22,17 @@
 export class TargetState {
   record: TargetRecord;
   /** Names this start of it, by which other hosts and later starts tell it apart. */
-  readonly start: string;
+  readonly incarnationId: string;
   /** By which keys rank it among the others; the same for all its starts. */
   readonly idHash: number;
   /** Requests of this entry host at the target now. */
   inFlight = 0;
   /** Requests of the other entry hosts there, by host, as they reported last. */
-  readonly othersInFlight = new Map<string, number>();
+  readonly peersInFlight = new Map<string, number>();
   /** What this start of it has said of itself in its answers. */
-  readonly word: TargetWord;
+  readonly signals: TargetSignals;
   /** When it last gave a usable answer. */
-  answeredAt = -Infinity;
+  lastResponseAt = -Infinity;
   /** When the target last worked on an object, by its key, the longest ago first. */
   readonly #familiar = new Map<string, number>();
   #reportedLoad = 0;
@@ -44,10 +44,10 @@
   #isGoing = false;
 
   /** @param word - what this start of it said before, where its record had gone meanwhile */
-  constructor(record: TargetRecord, now: number, word = new TargetWord()) {
+  constructor(record: TargetRecord, now: number, word = new TargetSignals()) {
     this.record = record;
-    this.word = word;
-    this.start = startName(record);
+    this.signals = word;
+    this.incarnationId = incarnationId(record);
     this.idHash = stableHash(record.id);
     this.update(record, now);
   }
@@ -61,17 +61,17 @@
    * does not take an answer back; it may have been written before.
    */
   get leaving(): boolean {
-    return this.#isGoing || this.word.isLeaving;
+    return this.#isGoing || this.signals.isLeaving;
   }
 
   /** Another target answers at its address: this start of it is gone. */
-  recordOtherTarget(): void {
+  recordReplaced(): void {
     this.#isGoing = true;
   }
 
   /** Whether it asked this host for rest that is not over. */
-  isResting(now: number, leftOut: LeftOut = NOTHING_LEFT_OUT): boolean {
-    return this.word.isResting(now) && !leftOut.has('rest');
+  isResting(now: number, leftOut: DisabledMechanisms = NO_DISABLED_MECHANISMS): boolean {
+    return this.signals.isResting(now) && !leftOut.has('rest');
   }
 
   /** Takes over what is newly recorded. */
@@ -97,10 +97,10 @@
   }
 
   /** Requests that it probably has now, running and waiting. */
-  load(now: number, leftOut: LeftOut = NOTHING_LEFT_OUT): number {
+  load(now: number, leftOut: DisabledMechanisms = NO_DISABLED_MECHANISMS): number {
     let counted = this.inFlight;
     if (!leftOut.has('peer-load')) {
-      for (const count of this.othersInFlight.values()) {
+      for (const count of this.peersInFlight.values()) {
         counted += count;
       }
     }
@@ -116,13 +116,13 @@
   }
 
   /** Whether it worked on this object for this host not long ago. */
-  isFamiliar(key: string, now: number): boolean {
+  hasCached(key: string, now: number): boolean {
     return now - (this.#familiar.get(key) ?? -Infinity) < FAMILIAR_MILLISECONDS;
   }
 
   /** @param key - the object that it worked on */
-  recordAnswer(key: string, now: number): void {
-    this.answeredAt = now;
+  recordResponse(key: string, now: number): void {
+    this.lastResponseAt = now;
     this.#familiar.delete(key);
     this.#familiar.set(key, now);
     if (this.#familiar.size > MOST_FAMILIAR) {
--- a/packages/routing/src/share-balancer.ts
+++ b/packages/routing/src/traffic-splitter.ts
@@ -1,4 +1,4 @@
-import { chooseShare } from './choose-share.js';
+import { pickWeightedService } from './pick-weighted-service.js';
 import type { Route } from './route-configuration.js';
 
 /** How far a service's part of the recent requests may lie over its weight's. */
@@ -36,11 +36,11 @@
  * object is known, unless that service's part of the recent requests would grow past its weight's:
  * with few keys, some of them more asked for than others, keys alone do not make up the weights.
  */
-export class ShareBalancer {
+export class TrafficSplitter {
   readonly #recent = new Map<string, RecentShares>();
 
-  choose(route: Route, key: string): string {
-    const preferred = chooseShare(route, key);
+  pick(route: Route, key: string): string {
+    const preferred = pickWeightedService(route, key);
     if (route.shares.length === 1) {
       return preferred;
     }
--- a/packages/routing/tests/accounts/account-quota.test.ts
+++ b/packages/routing/tests/accounts/account-quota.test.ts
@@ -2,16 +2,16 @@
 import { SeededRandom } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
 import { AccountQuota, AccountQuotas } from '../../src/index.js';
-import type { FleetKnowledge, OthersUsage } from '../../src/index.js';
+import type { PeerVisibility, UsageElsewhere } from '../../src/index.js';
 
 const BOUND = { windowMilliseconds: 5_000, overage: 0.1, slack: 20 };
 const ACCOUNT = makeLimitedAccount(40);
-const NOBODY: OthersUsage = { used: 0, askedPerSecond: 0 };
-const HEARD: FleetKnowledge = {
+const NOBODY: UsageElsewhere = { used: 0, demandPerSecond: 0 };
+const HEARD: PeerVisibility = {
   isAlone: true,
-  deafMilliseconds: 0,
-  blindShare: 0.1,
-  forgottenShare: 0,
+  peerReportAgeMilliseconds: 0,
+  isolatedShare: 0.1,
+  unaccountedShare: 0,
 };
 
 function makeQuota(account = ACCOUNT) {
@@ -21,7 +21,7 @@
   const ask = (count: number, others = NOBODY, fleet = HEARD): number => {
     let ran = 0;
     for (let asked = 0; asked < count; asked++) {
-      ran += quota.take(others, fleet) === undefined ? 1 : 0;
+      ran += quota.acquire(others, fleet) === undefined ? 1 : 0;
     }
     return ran;
   };
@@ -37,8 +37,8 @@
 
   it('counts what others have used', () => {
     const { ask } = makeQuota();
-    expect(ask(1_000, { used: 200, askedPerSecond: 0 })).toBeLessThan(240 * 1.1 + 20 - 200);
-    expect(ask(1, { used: 400, askedPerSecond: 0 })).toBe(0);
+    expect(ask(1_000, { used: 200, demandPerSecond: 0 })).toBeLessThan(240 * 1.1 + 20 - 200);
+    expect(ask(1, { used: 400, demandPerSecond: 0 })).toBe(0);
   });
 
   it('lets a quarter of the limit run at once where there are others, who may be flooded too', async () => {
@@ -61,9 +61,9 @@
   it('gives back what did not run and counts what ran twice', () => {
     const { quota, ask } = makeQuota();
     ask(10);
-    quota.settle(-10);
+    quota.charge(-10);
     expect(quota.used).toBe(0);
-    quota.settle(2);
+    quota.charge(2);
     expect(quota.used).toBe(2);
   });
 
@@ -72,7 +72,7 @@
     let ran = 0;
     for (let count = 0; count < 100; count++) {
       await clock.advance(10);
-      ran += ask(1, { used: 220, askedPerSecond: 900 });
+      ran += ask(1, { used: 220, demandPerSecond: 900 });
     }
     expect(ran).toBeGreaterThan(0);
     expect(ran).toBeLessThan(10);
@@ -88,7 +88,7 @@
   it('goes on as before where it is cut off, and no further', () => {
     const { ask } = makeQuota();
     ask(30);
-    const deaf = { ...HEARD, deafMilliseconds: 1_300 };
+    const deaf = { ...HEARD, peerReportAgeMilliseconds: 1_300 };
     expect(ask(100, NOBODY, deaf)).toBe(0);
   });
 
@@ -96,12 +96,12 @@
     const { clock, ask } = makeQuota();
     ask(200);
     await clock.advance(10_000);
-    const deaf = { ...HEARD, deafMilliseconds: 10_000 };
+    const deaf = { ...HEARD, peerReportAgeMilliseconds: 10_000 };
     expect(ask(100, NOBODY, deaf)).toBeCloseTo(25, -1);
   });
 
   it('leaves room for what ran before its start, which nobody remembers', () => {
-    const ran = makeQuota().ask(1_000, NOBODY, { ...HEARD, forgottenShare: 0.8 });
+    const ran = makeQuota().ask(1_000, NOBODY, { ...HEARD, unaccountedShare: 0.8 });
     expect(ran).toBeLessThan(240 * 0.3 + 10);
     expect(ran).toBeGreaterThan(240 * 0.2);
   });
@@ -109,12 +109,12 @@
   it('tells when there will be room, the later the more were refused before', () => {
     const { quota, ask } = makeQuota();
     ask(1_000);
-    const later = quota.take(NOBODY, HEARD);
+    const later = quota.acquire(NOBODY, HEARD);
     expect(later?.retryAfterSeconds).toBe(5);
     expect(later).toMatchObject({ limit: 240, usedElsewhere: 0 });
     const { quota: other, ask: askOther } = makeQuota();
     askOther(260);
-    const sooner = other.take(NOBODY, HEARD)?.retryAfterSeconds ?? 0;
+    const sooner = other.acquire(NOBODY, HEARD)?.retryAfterSeconds ?? 0;
     expect(sooner).toBeGreaterThan(0);
     expect(sooner).toBeLessThan(1);
   });
@@ -128,8 +128,8 @@
       clock,
       random,
       bound: BOUND,
-      others: () => NOBODY,
-      fleet: () => HEARD,
+      usageElsewhere: () => NOBODY,
+      visibility: () => HEARD,
     });
   }
 
@@ -138,15 +138,15 @@
     const open = { ...ACCOUNT, requestsPerSecond: 0 };
     quotas.setAccounts([open]);
     for (let count = 0; count < 1_000; count++) {
-      expect(quotas.take(open)).toBeUndefined();
+      expect(quotas.acquire(open)).toBeUndefined();
     }
-    expect(quotas.usage).toEqual({ used: {}, asked: {} });
+    expect(quotas.usage).toEqual({ used: {}, demand: {} });
   });
 
   it('keeps what an account has used over versions of the configuration', () => {
     const quotas = makeQuotas();
     quotas.setAccounts([ACCOUNT]);
-    quotas.take(ACCOUNT);
+    quotas.acquire(ACCOUNT);
     const changed = { ...ACCOUNT, burst: 10 };
     quotas.setAccounts([changed]);
     expect(quotas.usage.used).toEqual({ haulier: 1 });
@@ -158,11 +158,11 @@
   it('counts a request by how often it came to run', () => {
     const quotas = makeQuotas();
     quotas.setAccounts([ACCOUNT]);
-    quotas.take(ACCOUNT);
-    quotas.settle(ACCOUNT, 2);
+    quotas.acquire(ACCOUNT);
+    quotas.recordRuns(ACCOUNT, 2);
     expect(quotas.usedBy('haulier')).toBe(2);
-    quotas.take(ACCOUNT);
-    quotas.settle(ACCOUNT, 0);
+    quotas.acquire(ACCOUNT);
+    quotas.recordRuns(ACCOUNT, 0);
     expect(quotas.usedBy('haulier')).toBe(2);
   });
 });
--- a/packages/routing/tests/accounts/account-table.test.ts
+++ b/packages/routing/tests/accounts/account-table.test.ts
@@ -61,13 +61,13 @@
     const rank = (key: string, priority: number): number =>
       table.admit(makeRoute({ priority }), key).unwrap().route.priority;
     expect([rank('u', 0), rank('u', 2), rank('o', 0), rank('o', 2)]).toEqual([0, 2, 6, 8]);
-    expect(table.leastUrgent).toBe(8);
+    expect(table.lowestPriority).toBe(8);
   });
 
   it('leaves the routes’ ranks alone where all accounts are alike', () => {
     const table = makeTable(makeAccount({ priority: 4 }));
     expect(table.admit(makeRoute({ priority: 1 }), 'k-1').unwrap().route.priority).toBe(1);
-    expect(table.leastUrgent).toBe(2);
+    expect(table.lowestPriority).toBe(2);
   });
 
   it('makes the same route for an account once', () => {
--- a/packages/routing/tests/accounts/held-counts.test.ts
+++ b/packages/routing/tests/accounts/reported-counts.test.ts
@@ -1,21 +1,21 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
-import { HeldCounts } from '../../src/index.js';
+import { ReportedCounts } from '../../src/index.js';
 
 const all = (): boolean => true;
 
 function makeCounts() {
   const clock = new FakeClock();
-  const counts = new HeldCounts(clock, 5_000);
+  const counts = new ReportedCounts(clock, 5_000);
   return { clock, counts, of: (account = 'a') => counts.of(account, all) };
 }
 
 describe('HeldCounts', () => {
   it('adds up what sources tell, the last of each', () => {
     const { counts, of } = makeCounts();
-    counts.take('one', { a: 40, b: 1 });
-    counts.take('two', { a: 10 });
-    counts.take('one', { a: 35 });
+    counts.record('one', { a: 40, b: 1 });
+    counts.record('two', { a: 10 });
+    counts.record('one', { a: 35 });
     expect(of()).toBe(45);
     expect(of('b')).toBe(0);
     expect(counts.sum((source) => source === 'one')).toEqual({ a: 35 });
@@ -23,46 +23,46 @@
 
   it('takes a small fall for arrivals by chance', () => {
     const { counts, of } = makeCounts();
-    counts.take('one', { a: 40 });
-    counts.take('one', { a: 24 });
+    counts.record('one', { a: 40 });
+    counts.record('one', { a: 24 });
     expect(of()).toBe(24);
   });
 
   it('keeps what a source has forgotten for a whole window', async () => {
     const { clock, counts, of } = makeCounts();
-    counts.take('one', { a: 100 });
+    counts.record('one', { a: 100 });
     await clock.advance(500);
-    counts.take('one', { a: 0 });
+    counts.record('one', { a: 0 });
     expect(of()).toBe(100);
     await clock.advance(4_400);
-    counts.take('one', { a: 10 });
+    counts.record('one', { a: 10 });
     expect(of()).toBe(100);
     await clock.advance(200);
-    counts.take('one', { a: 12 });
+    counts.record('one', { a: 12 });
     expect(of()).toBe(12);
   });
 
   it('keeps no more than a source tells that has forgotten and tells more than before', async () => {
     const { clock, counts, of } = makeCounts();
-    counts.take('one', { a: 50 });
-    counts.take('one', { a: 0 });
+    counts.record('one', { a: 50 });
+    counts.record('one', { a: 0 });
     await clock.advance(300);
-    counts.take('one', { a: 60 });
-    counts.take('one', { a: 58 });
+    counts.record('one', { a: 60 });
+    counts.record('one', { a: 58 });
     expect(of()).toBe(58);
   });
 
   it('counts an account once that a source has forgotten and tells again', () => {
     const { counts, of } = makeCounts();
-    counts.take('one', { a: 50 });
-    counts.take('one', { a: 3 });
+    counts.record('one', { a: 50 });
+    counts.record('one', { a: 3 });
     expect(counts.sum(all)).toEqual({ a: 50 });
     expect(of()).toBe(50);
   });
 
   it('counts with a silent source for one window, then less', async () => {
     const { clock, counts, of } = makeCounts();
-    counts.take('one', { a: 40 });
+    counts.record('one', { a: 40 });
     await clock.advance(5_000);
     expect(of()).toBe(40);
     await clock.advance(2_500);
@@ -74,8 +74,8 @@
 
   it('keeps what a source used that has ended for one window', async () => {
     const { clock, counts, of } = makeCounts();
-    counts.take('one', { a: 40 });
-    counts.end('one');
+    counts.record('one', { a: 40 });
+    counts.markEnded('one');
     await clock.advance(5_000);
     expect(of()).toBe(40);
     await clock.advance(1);
--- a/packages/routing/tests/cold-gate.test.ts
+++ b/packages/routing/tests/cold-start-limiter.test.ts
@@ -1,6 +1,6 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
-import { ColdGate } from '../src/index.js';
+import { ColdStartLimiter } from '../src/index.js';
 
 /** What the deployments allow: 1.5 times the rate and five requests, in any second. */
 const mostInASecond = (rate: number): number => rate * 1.5 + 5;
@@ -13,12 +13,12 @@
 async function arrivals(hostCount: number, rate: number): Promise<number[]> {
   const clock = new FakeClock();
   const hosts = makeHosts(hostCount);
-  const gates = hosts.map(() => new ColdGate(clock));
+  const gates = hosts.map(() => new ColdStartLimiter(clock));
   const times: number[] = [];
   for (let step = 0; step < 150; step++) {
     for (const [index, gate] of gates.entries()) {
       const ownName = hosts[index] ?? '';
-      if (gate.tryTake({ target: 'target-1', requestsPerSecond: rate, ownName, hosts })) {
+      if (gate.tryAcquire({ target: 'target-1', requestsPerSecond: rate, ownName, hosts })) {
         times.push(clock.now());
       }
     }
@@ -53,7 +53,7 @@
     for (const ownName of all) {
       const hosts = all.filter((name) => name === ownName || Number(name.slice(5)) % 2 === 0);
       const demand = { target: 'target-1', requestsPerSecond: 9, ownName, hosts };
-      taken += new ColdGate(clock).tryTake(demand) ? 1 : 0;
+      taken += new ColdStartLimiter(clock).tryAcquire(demand) ? 1 : 0;
     }
     expect(taken).toBeLessThanOrEqual(mostInASecond(9));
   });
--- a/packages/routing/tests/limited-targets.test.ts
+++ b/packages/routing/tests/limited-targets.test.ts
@@ -1,7 +1,7 @@
 import { FakeClock, makeRoute } from '@ferrylock/test-utils';
 import { SeededRandom } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { NOTHING_LEFT_OUT, TargetLimits } from '../src/index.js';
+import { NO_DISABLED_MECHANISMS, TargetLimits } from '../src/index.js';
 import type { ServiceTargets } from '../src/index.js';
 import { BORN, makeService, put, reached } from './two-regions.js';
 
@@ -19,16 +19,16 @@
   const limits = new TargetLimits({
     clock,
     random: new SeededRandom(1),
-    others: () => ({ used: 0, askedPerSecond: 0 }),
-    fleet: () => ({ hosts, ownName: 'host-1', heardShare: 1 }),
-    leftOut: NOTHING_LEFT_OUT,
+    usageElsewhere: () => ({ used: 0, demandPerSecond: 0 }),
+    fleet: () => ({ hosts, ownName: 'host-1', visibleHostShare: 1 }),
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   return { limits, ...makeService(clock, limits) };
 }
 
 /** The target names a limit of which nothing is left at first. */
 function limit(service: ServiceTargets, id: string, perSecond = 1): void {
-  service.targets.get(id)?.word.limit.record(perSecond, { sentAt: 0, now: 0 });
+  service.targets.get(id)?.signals.limit.record(perSecond, { sentAt: 0, now: 0 });
 }
 
 describe('a target at the limit that it named', () => {
@@ -101,15 +101,15 @@
     put(service, 'a');
     put(service, 'b');
     limit(service, 'a', 0.5);
-    service.targets.get('a')?.word.recordRest(60_000, clock.now());
-    expect(service.commonWait(makeRoute())).toBeUndefined();
+    service.targets.get('a')?.signals.recordRest(60_000, clock.now());
+    expect(service.earliestAvailability(makeRoute())).toBeUndefined();
     limit(service, 'b', 0.5);
     reached(service);
-    const wait = service.commonWait(makeRoute());
+    const wait = service.earliestAvailability(makeRoute());
     expect(wait).toMatchObject({ resting: ['a'], limited: ['b'] });
     expect(wait?.milliseconds).toBeLessThan(60_000);
     service.remove('b');
-    expect(service.commonWait(makeRoute())?.milliseconds).toBe(60_000);
+    expect(service.earliestAvailability(makeRoute())?.milliseconds).toBe(60_000);
   });
 
   it('keeps its limit where its record goes and comes back, and a later start has none', () => {
@@ -128,9 +128,9 @@
     put(service, 'a');
     limit(service, 'a');
     reached(service);
-    service.targets.get('a')?.word.limit.record(undefined, { sentAt: 1, now: 2 });
+    service.targets.get('a')?.signals.limit.record(undefined, { sentAt: 1, now: 2 });
     expect(reached(service)).toEqual(new Set(['a']));
-    expect(service.commonWait(makeRoute())).toBeUndefined();
+    expect(service.earliestAvailability(makeRoute())).toBeUndefined();
   });
 });
 
@@ -140,14 +140,14 @@
     put(service, 'a');
     put(service, 'b');
     reached(service);
-    expect(limits.tell()).toEqual({ used: {}, asked: {} });
+    expect(limits.report()).toEqual({ used: {}, demand: {} });
     limit(service, 'a', 5);
     reached(service);
     await clock.advance(1_000);
     reached(service);
-    const { used, asked } = limits.tell();
+    const { used, demand: asked } = limits.report();
     const [start = ''] = Object.keys(used);
-    expect(start).toBe(service.targets.get('a')?.start);
+    expect(start).toBe(service.targets.get('a')?.incarnationId);
     expect(Object.keys(asked)).toEqual([start]);
     expect(used[start]).toBeGreaterThan(0);
     expect(asked[start]).toBeGreaterThan(used[start] ?? 0);
--- a/packages/routing/tests/limits/recent-rate.test.ts
+++ b/packages/routing/tests/limits/adaptive-request-rate.test.ts
@@ -1,10 +1,10 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
-import { RecentRate } from '../../src/limits/recent-rate.js';
+import { AdaptiveRequestRate } from '../../src/limits/adaptive-request-rate.js';
 
 async function rateAfter(count: number, gapMilliseconds: number): Promise<number> {
   const clock = new FakeClock();
-  const rate = new RecentRate(clock);
+  const rate = new AdaptiveRequestRate(clock);
   for (let request = 0; request < count; request++) {
     await clock.advance(gapMilliseconds);
     rate.record();
@@ -28,7 +28,7 @@
 
   it('falls once nobody asks any more, and is none after some of the times between requests', async () => {
     const clock = new FakeClock();
-    const rate = new RecentRate(clock);
+    const rate = new AdaptiveRequestRate(clock);
     for (let request = 0; request < 8; request++) {
       rate.record();
       await clock.advance(100);
--- a/packages/routing/tests/limits/limit-word.test.ts
+++ b/packages/routing/tests/limits/advertised-limit.test.ts
@@ -1,19 +1,19 @@
 import { describe, expect, it } from 'vitest';
-import { LimitWord } from '../../src/index.js';
+import { AdvertisedLimit } from '../../src/index.js';
 
-function make(perSecond: number | undefined, heardAt = 1_000): LimitWord {
-  const word = new LimitWord();
+function make(perSecond: number | undefined, heardAt = 1_000): AdvertisedLimit {
+  const word = new AdvertisedLimit();
   word.record(perSecond, { sentAt: heardAt - 10, now: heardAt });
   return word;
 }
 
 describe('LimitWord', () => {
   it('names none at first, and is news once', () => {
-    const word = new LimitWord();
+    const word = new AdvertisedLimit();
     expect(word.record(undefined, { sentAt: 0, now: 1 })).toBe(false);
     expect(word.record(2.5, { sentAt: 0, now: 1 })).toBe(true);
     expect(word.record(2.5, { sentAt: 2, now: 3 })).toBe(false);
-    expect([word.perSecond, word.heardAt]).toEqual([2.5, 3]);
+    expect([word.perSecond, word.receivedAt]).toEqual([2.5, 3]);
   });
 
   it.each([
@@ -46,13 +46,13 @@
     ['an older word', 1, 700, 2.5],
   ])('takes what another host tells: %s', (_case, perSecond, heardAt, held) => {
     const word = make(2.5);
-    word.hear({ perSecond, heardAt });
+    word.merge({ perSecond, receivedAt: heardAt });
     expect(word.perSecond).toBe(held);
   });
 
   it('does not grow younger by being told again', () => {
     const word = make(2.5);
-    word.hear({ perSecond: 2.5, heardAt: 900 });
-    expect(word.heardAt).toBe(1_000);
+    word.merge({ perSecond: 2.5, receivedAt: 900 });
+    expect(word.receivedAt).toBe(1_000);
   });
 });
--- a/packages/routing/tests/limits/limit-part.test.ts
+++ b/packages/routing/tests/limits/limit-share.test.ts
@@ -1,8 +1,8 @@
 import { FakeClock, makeLimitedAccount, partOfLimit, QuotaFleet } from '@ferrylock/test-utils';
 import { SeededRandom } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { LimitPart } from '../../src/index.js';
-import type { LimitSight } from '../../src/index.js';
+import { LimitShare } from '../../src/index.js';
+import type { LimitView } from '../../src/index.js';
 
 /**
  * Limits of one target over hosts that hear of each other up to a second late. The pattern is a target of twenty that gets 14.5
@@ -219,16 +219,16 @@
 }
 
 describe('LimitPart', () => {
-  const alone: LimitSight = {
-    others: { used: 0, askedPerSecond: 0 },
-    heardShare: 1,
+  const alone: LimitView = {
+    usageElsewhere: { used: 0, demandPerSecond: 0 },
+    visibleHostShare: 1,
     hosts: 1,
     place: () => 0,
   };
 
   function make(perSecond: number) {
     const clock = new FakeClock();
-    return { clock, part: new LimitPart(clock, new SeededRandom(1), perSecond) };
+    return { clock, part: new LimitShare(clock, new SeededRandom(1), perSecond) };
   }
 
   it('lets a host that is alone use all of it, also a very large one', async () => {
@@ -236,9 +236,9 @@
     let sent = 0;
     for (let step = 0; step < 100; step++) {
       await clock.advance(10);
-      part.tell(alone);
+      part.report(alone);
       for (let request = 0; request < 50; request++) {
-        sent += Number(part.take(alone));
+        sent += Number(part.tryAcquire(alone));
       }
     }
     expect(sent).toBe(5_000);
@@ -247,29 +247,31 @@
   it('has back what was let be sent and was not', async () => {
     const { clock, part } = make(0.2);
     await clock.advance(10_000);
-    expect(part.take(alone)).toBe(true);
-    expect(part.take(alone)).toBe(false);
-    part.giveBack();
+    expect(part.tryAcquire(alone)).toBe(true);
+    expect(part.tryAcquire(alone)).toBe(false);
+    part.release();
     expect(part.used).toBe(0);
-    expect(part.take(alone)).toBe(true);
+    expect(part.tryAcquire(alone)).toBe(true);
   });
 
   it('sends nothing where others have used it up, and tells a time until it may', async () => {
     const { clock, part } = make(2);
     await clock.advance(10_000);
-    const usedUp = { ...alone, others: { used: 8, askedPerSecond: 1 }, hosts: 2 };
-    expect(part.take(usedUp)).toBe(false);
+    const usedUp = { ...alone, usageElsewhere: { used: 8, demandPerSecond: 1 }, hosts: 2 };
+    expect(part.tryAcquire(usedUp)).toBe(false);
     expect(part.waitMilliseconds(usedUp)).toBeGreaterThanOrEqual(500);
-    expect(part.take({ ...usedUp, others: { used: 7, askedPerSecond: 1 } })).toBe(true);
+    expect(part.tryAcquire({ ...usedUp, usageElsewhere: { used: 7, demandPerSecond: 1 } })).toBe(
+      true,
+    );
   });
 
   it('takes a part that others know of already, and none for what it told just now', async () => {
     const { clock, part } = make(4);
-    const busy = { ...alone, others: { used: 0, askedPerSecond: 100 }, hosts: 2 };
+    const busy = { ...alone, usageElsewhere: { used: 0, demandPerSecond: 100 }, hosts: 2 };
     for (let request = 0; request < 8; request++) {
-      part.take(busy);
+      part.tryAcquire(busy);
     }
-    part.tell(busy);
+    part.report(busy);
     expect(part.ratePerSecond(busy)).toBe(0);
     await clock.advance(800);
     expect(part.ratePerSecond(busy)).toBeGreaterThan(0);
--- a/packages/routing/tests/most-load-per-slot.test.ts
+++ b/packages/routing/tests/max-load-per-slot.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { mostLoadPerSlot } from '../src/index.js';
+import { maxLoadPerSlot } from '../src/index.js';
 import { makeRoute } from '@ferrylock/test-utils';
 
 describe('mostLoadPerSlot', () => {
@@ -11,14 +11,16 @@
     ['as long as the wait still ends in time', 120, 2.25],
     ['never beyond all patience', 10, 2.5],
   ])('allows waiting %s', (_case, runMilliseconds, expected) => {
-    expect(mostLoadPerSlot({ route, runMilliseconds, leastUrgent: 2 })).toBeCloseTo(expected);
+    expect(
+      maxLoadPerSlot({ route, processingMilliseconds: runMilliseconds, lowestPriority: 2 }),
+    ).toBeCloseTo(expected);
   });
 
   it('refuses the less urgent first', () => {
     const urgent = makeRoute({ ...route, priority: 1 });
-    const input = { runMilliseconds: 120, leastUrgent: 2 };
-    expect(mostLoadPerSlot({ route: urgent, ...input })).toBeGreaterThan(
-      mostLoadPerSlot({ route, ...input }),
+    const input = { processingMilliseconds: 120, lowestPriority: 2 };
+    expect(maxLoadPerSlot({ route: urgent, ...input })).toBeGreaterThan(
+      maxLoadPerSlot({ route, ...input }),
     );
   });
 });
--- a/packages/routing/tests/shift-bound.test.ts
+++ b/packages/routing/tests/overflow-budget.test.ts
@@ -1,12 +1,12 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { randomIndex, SeededRandom } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { mostStepPerSecond, OverflowAllowance } from '../src/shift-bound.js';
+import { maxStepPerSecond, OverflowBudget } from '../src/overflow-budget.js';
 
 const BOUND = { share: 0.15, windowMilliseconds: 2_000 };
 
-function makeAllowance(clock: FakeClock, ownName = 'host-1'): OverflowAllowance {
-  return new OverflowAllowance({ clock, bound: BOUND, ownName });
+function makeAllowance(clock: FakeClock, ownName = 'host-1'): OverflowBudget {
+  return new OverflowBudget({ clock, bound: BOUND, ownName });
 }
 
 /**
@@ -75,7 +75,7 @@
         overflows++;
       }
     }
-    const bySteps = (mostStepPerSecond(BOUND) * BOUND.windowMilliseconds) / 1_000;
+    const bySteps = (maxStepPerSecond(BOUND) * BOUND.windowMilliseconds) / 1_000;
     expect(overflows).toBeGreaterThan(0);
     expect(overflows / 400 + bySteps).toBeLessThan(BOUND.share);
     await clock.advance(2_500);
--- a/packages/routing/tests/choose-share.test.ts
+++ b/packages/routing/tests/pick-weighted-service.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { chooseShare } from '../src/index.js';
+import { pickWeightedService } from '../src/index.js';
 import { makeRoute } from '@ferrylock/test-utils';
 
 const REQUESTS = 4_000;
@@ -9,7 +9,7 @@
   const route = makeRoute({ shares });
   let count = 0;
   for (let request = 0; request < REQUESTS; request++) {
-    count += chooseShare(route, `request-${request}`) === service ? 1 : 0;
+    count += pickWeightedService(route, `request-${request}`) === service ? 1 : 0;
   }
   return count / REQUESTS;
 }
@@ -31,7 +31,7 @@
         { service: 'b', weight: 1 },
       ],
     });
-    expect(chooseShare(route, 'x')).toBe(chooseShare(route, 'x'));
+    expect(pickWeightedService(route, 'x')).toBe(pickWeightedService(route, 'x'));
   });
 
   it('moves only what a change of weights requires', () => {
@@ -50,7 +50,7 @@
     let moved = 0;
     for (let request = 0; request < REQUESTS; request++) {
       const text = `request-${request}`;
-      moved += chooseShare(before, text) === chooseShare(after, text) ? 0 : 1;
+      moved += pickWeightedService(before, text) === pickWeightedService(after, text) ? 0 : 1;
     }
     expect(Math.abs(moved / REQUESTS - 0.1)).toBeLessThan(0.02);
   });
--- a/packages/routing/tests/region-placement.test.ts
+++ b/packages/routing/tests/region-placement.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest';
-import { NOTHING_LEFT_OUT, RegionPlacement } from '../src/index.js';
-import type { LeftOut, RegionRoom } from '../src/index.js';
+import { NO_DISABLED_MECHANISMS, RegionPlacement } from '../src/index.js';
+import type { DisabledMechanisms, RegionCapacity } from '../src/index.js';
 
 const KEYS = Array.from({ length: 2_000 }, (_, index) => `object-${index}`);
 interface Options {
   readonly mostStepPerSecond: number;
-  readonly leftOut: LeftOut;
+  readonly leftOut: DisabledMechanisms;
 }
 
 /** Targets in unequal numbers for callers who ask for as much in each region. */
-const UNEQUAL: readonly RegionRoom[] = [
+const UNEQUAL: readonly RegionCapacity[] = [
   { region: 'small', slots: 10, work: undefined },
   { region: 'middle', slots: 40, work: undefined },
   { region: 'large', slots: 50, work: undefined },
@@ -19,17 +19,21 @@
 
 function makePlacement(
   ownRegion: string,
-  { mostStepPerSecond = 0.05, leftOut = NOTHING_LEFT_OUT }: Partial<Options> = {},
+  { mostStepPerSecond = 0.05, leftOut = NO_DISABLED_MECHANISMS }: Partial<Options> = {},
 ): RegionPlacement {
-  return new RegionPlacement({ ownRegion, mostStepPerSecond, leftOut });
+  return new RegionPlacement({
+    ownRegion,
+    maxStepPerSecond: mostStepPerSecond,
+    disabledMechanisms: leftOut,
+  });
 }
 
-function withWork(work: Readonly<Record<string, number>>): RegionRoom[] {
+function withWork(work: Readonly<Record<string, number>>): RegionCapacity[] {
   return UNEQUAL.map((room) => ({ ...room, work: work[room.region] ?? 0 }));
 }
 
 function shareOf(placement: RegionPlacement, region: string): number {
-  return KEYS.filter((key) => placement.orderOf(key)[0] === region).length / KEYS.length;
+  return KEYS.filter((key) => placement.regionOrder(key)[0] === region).length / KEYS.length;
 }
 
 describe('RegionPlacement', () => {
@@ -57,8 +61,8 @@
       placement.update(UNEQUAL, 0);
     }
     for (const key of KEYS.slice(0, 200)) {
-      expect(one.orderOf(key)).toEqual(other.orderOf(key));
-      expect([...one.orderOf(key)].sort()).toEqual(['large', 'middle', 'small']);
+      expect(one.regionOrder(key)).toEqual(other.regionOrder(key));
+      expect([...one.regionOrder(key)].sort()).toEqual(['large', 'middle', 'small']);
     }
   });
 
@@ -94,9 +98,9 @@
   it('moves few keys when demand moves a little', () => {
     const placement = makePlacement('small', { mostStepPerSecond: 1 });
     placement.update(withWork({ small: 20, middle: 20, large: 20 }), 0);
-    const before = KEYS.map((key) => placement.orderOf(key)[0]);
+    const before = KEYS.map((key) => placement.regionOrder(key)[0]);
     placement.update(withWork({ small: 22, middle: 20, large: 20 }), 1_000);
-    const moved = KEYS.filter((key, index) => placement.orderOf(key)[0] !== before[index]);
+    const moved = KEYS.filter((key, index) => placement.regionOrder(key)[0] !== before[index]);
     expect(moved.length / KEYS.length).toBeLessThan(0.06);
   });
 
@@ -108,8 +112,8 @@
       1_000,
     );
     for (const key of KEYS.slice(0, 100)) {
-      expect(placement.orderOf(key)).toHaveLength(3);
-      expect(placement.orderOf(key)[2]).toBe('small');
+      expect(placement.regionOrder(key)).toHaveLength(3);
+      expect(placement.regionOrder(key)[2]).toBe('small');
     }
   });
 
--- a/packages/routing/tests/resting-targets.test.ts
+++ b/packages/routing/tests/resting-targets.test.ts
@@ -10,7 +10,7 @@
 const REST_MILLISECONDS = 3_000;
 
 function rest(service: ServiceTargets, id: string): void {
-  service.targets.get(id)?.word.recordRest(REST_MILLISECONDS, 0);
+  service.targets.get(id)?.signals.recordRest(REST_MILLISECONDS, 0);
 }
 
 describe('a target that asked for rest', () => {
@@ -95,7 +95,7 @@
     put(service, 'a', { bornAt });
     put(service, 'b', { bornAt });
     rest(service, 'a');
-    service.targets.get('b')?.word.recordLeaving();
+    service.targets.get('b')?.signals.recordLeaving();
     service.remove('a');
     service.remove('b');
     put(service, 'a', { bornAt });
@@ -110,15 +110,15 @@
     const former = service.targets.get('a');
     put(service, 'a', { bornAt: BORN + 1 });
     expect(reached(service)).toEqual(new Set(['a']));
-    former?.word.recordRest(REST_MILLISECONDS, 0);
-    former?.word.recordLeaving();
+    former?.signals.recordRest(REST_MILLISECONDS, 0);
+    former?.signals.recordLeaving();
     expect(reached(service)).toEqual(new Set(['a']));
   });
 
   it('is not taken back by a record that says ready', () => {
     const { service } = makeService();
     put(service, 'a');
-    service.targets.get('a')?.word.recordLeaving();
+    service.targets.get('a')?.signals.recordLeaving();
     put(service, 'a', { sequence: 7 });
     expect(service.targets.get('a')?.leaving).toBe(true);
   });
@@ -128,21 +128,21 @@
   it('is told where all rest that may take a request, by the first of them', async () => {
     const { clock, service } = makeService();
     const anywhere = makeRoute();
-    expect(service.commonWait(anywhere)).toBeUndefined();
+    expect(service.earliestAvailability(anywhere)).toBeUndefined();
     ['a', 'b', 'leaving'].forEach((id) => {
       put(service, id);
     });
     put(service, 'far', { failureDomain: 'odense-hal' });
-    service.targets.get('leaving')?.word.recordLeaving();
+    service.targets.get('leaving')?.signals.recordLeaving();
     rest(service, 'a');
     await clock.advance(500);
-    service.targets.get('b')?.word.recordRest(REST_MILLISECONDS, clock.now());
+    service.targets.get('b')?.signals.recordRest(REST_MILLISECONDS, clock.now());
     const nearOnly = makeRoute({ homeRegions: ['jylland'] });
-    expect(service.commonWait(nearOnly)).toEqual({
+    expect(service.earliestAvailability(nearOnly)).toEqual({
       milliseconds: REST_MILLISECONDS - 500,
       resting: ['a', 'b'],
       limited: [],
     });
-    expect(service.commonWait(anywhere)).toBeUndefined();
+    expect(service.earliestAvailability(anywhere)).toBeUndefined();
   });
 });
--- a/packages/routing/tests/divided-limits.test.ts
+++ b/packages/routing/tests/retry-budget.test.ts
@@ -1,6 +1,6 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
-import { RetryAllowance, SlidingCount } from '../src/index.js';
+import { RetryBudget, SlidingWindowCounter } from '../src/index.js';
 
 const BOUND = { ratio: 0.2, slack: 64, windowMilliseconds: 10_000 };
 const HOSTS = 12;
@@ -8,7 +8,7 @@
 describe('SlidingCount', () => {
   it('forgets what lies a window back', async () => {
     const clock = new FakeClock();
-    const count = new SlidingCount(clock, 10_000);
+    const count = new SlidingWindowCounter(clock, 10_000);
     count.add(3);
     await clock.advance(5_000);
     count.add(2);
@@ -23,7 +23,7 @@
 describe('RetryAllowance', () => {
   it('keeps all hosts together under the bound, however many ask for all they can', () => {
     const clock = new FakeClock();
-    const allowances = Array.from({ length: HOSTS }, () => new RetryAllowance(clock, BOUND));
+    const allowances = Array.from({ length: HOSTS }, () => new RetryBudget(clock, BOUND));
     let requests = 0;
     let retries = 0;
     for (const [index, allowance] of allowances.entries()) {
@@ -31,7 +31,7 @@
         allowance.recordRequest();
         requests++;
       }
-      while (allowance.tryTake(HOSTS)) {
+      while (allowance.tryAcquire(HOSTS)) {
         retries++;
       }
     }
@@ -40,9 +40,9 @@
   });
 
   it('gives a host that has just started no more than its part of the slack', () => {
-    const allowance = new RetryAllowance(new FakeClock(), BOUND);
+    const allowance = new RetryBudget(new FakeClock(), BOUND);
     let retries = 0;
-    while (allowance.tryTake(HOSTS)) {
+    while (allowance.tryAcquire(HOSTS)) {
       retries++;
     }
     expect(retries).toBeLessThanOrEqual(BOUND.slack / HOSTS);
--- a/packages/routing/tests/round-trips.test.ts
+++ b/packages/routing/tests/round-trip-times.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import { RoundTrips } from '../src/index.js';
+import { RoundTripTimes } from '../src/index.js';
 
 describe('RoundTrips', () => {
   it('takes a shorter time at once and a longer one slowly', () => {
-    const trips = new RoundTrips();
+    const trips = new RoundTripTimes();
     expect(trips.of('aarhus-hal')).toBe(0);
     trips.record('aarhus-hal', 40);
     trips.record('aarhus-hal', 20);
--- a/packages/routing/tests/service-targets.test.ts
+++ b/packages/routing/tests/service-targets.test.ts
@@ -1,10 +1,10 @@
 import { FakeClock, makeRoute, makeTargetRecord } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
 import {
-  mostLoadPerSlot,
+  maxLoadPerSlot,
   NO_LIMITS,
-  NOTHING_LEFT_OUT,
-  OverflowAllowance,
+  NO_DISABLED_MECHANISMS,
+  OverflowBudget,
   ServiceTargets,
 } from '../src/index.js';
 import type { TargetState } from '../src/index.js';
@@ -15,17 +15,17 @@
 function makeService(evacuated = '') {
   const clock = new FakeClock();
   const bound = { share: 0.15, windowMilliseconds: 2_000 };
-  const overflows = new OverflowAllowance({ clock, bound, ownName: 'host-1' });
+  const overflows = new OverflowBudget({ clock, bound, ownName: 'host-1' });
   const service = new ServiceTargets('verdict-api', {
     clock,
     overflows,
-    retryBound: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
+    retryBudget: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
     regionOf: (failureDomain) => REGIONS[failureDomain] ?? failureDomain,
     ownRegion: 'jylland',
     isEvacuated: (failureDomain) => failureDomain === evacuated,
-    shiftBound: bound,
+    regionShiftLimit: bound,
     limits: NO_LIMITS,
-    leftOut: NOTHING_LEFT_OUT,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   return { clock, service, overflows };
 }
@@ -37,11 +37,11 @@
 }
 
 function choose(service: ServiceTargets, key: string): TargetState | undefined {
-  return service.choose({
+  return service.select({
     route: makeRoute(),
     key,
     tried: new Set(),
-    leastUrgent: 0,
+    lowestPriority: 0,
     ownName: 'host-1',
     coldSenders: ['host-1'],
   });
@@ -69,10 +69,10 @@
     const target = choose(service, 'object-1');
     const answered = { route: makeRoute(), key: 'object-1', milliseconds: 100, loadPerSlot: 0 };
     if (target !== undefined) {
-      service.recordAnswer(target, answered);
+      service.recordResponse(target, answered);
     }
     for (let second = 0; second < 20; second++) {
-      service.place((region) => (region === 'jylland' ? 10 : 40));
+      service.updatePlacement((region) => (region === 'jylland' ? 10 : 40));
       await clock.advance(1_000);
     }
     expect(homeShareOf(service)).toBe(1);
@@ -82,7 +82,7 @@
     const { service } = makeService('aarhus-hal');
     addTargets(service, 'aarhus-hal', 4);
     addTargets(service, 'odense-hal', 4);
-    service.place(() => undefined);
+    service.updatePlacement(() => undefined);
     expect(homeShareOf(service)).toBe(0);
   });
 
@@ -90,7 +90,7 @@
     const { service, clock } = makeService();
     const record = { id: 'cold', failureDomain: 'odense-hal', coldMilliseconds: 3_000 };
     service.put(makeTargetRecord(record));
-    service.place(() => 10);
+    service.updatePlacement(() => 10);
     await clock.advance(1_000);
     expect(choose(service, 'object-1')?.id).toBe('cold');
   });
@@ -101,11 +101,11 @@
     addTargets(service, 'odense-hal', 9);
     const route = makeRoute({ kind: 'upload' });
     for (const key of KEYS) {
-      service.choose({
+      service.select({
         route,
         key,
         tried: new Set(),
-        leastUrgent: 0,
+        lowestPriority: 0,
         ownName: 'host-1',
         coldSenders: ['host-1'],
       });
@@ -118,11 +118,11 @@
     addTargets(service, 'aarhus-hal', 1);
     addTargets(service, 'odense-hal', 9);
     const chosen = KEYS.map((key) =>
-      service.choose({
+      service.select({
         route: makeRoute({ kind: 'upload' }),
         key,
         tried: new Set(),
-        leastUrgent: 0,
+        lowestPriority: 0,
         ownName: 'host-1',
         coldSenders: ['host-1'],
       }),
@@ -137,14 +137,14 @@
     const { service } = makeService();
     addTargets(service, 'aarhus-hal', 2);
     const route = makeRoute();
-    expect(service.clearingMilliseconds(route, 0)).toBeUndefined();
+    expect(service.backlogMilliseconds(route, 0)).toBeUndefined();
     const target = choose(service, 'object-1');
     if (target === undefined) {
       throw new Error('expected a target');
     }
-    service.recordAnswer(target, { route, key: 'object-1', milliseconds: 100, loadPerSlot: 0 });
-    const most = mostLoadPerSlot({ route, runMilliseconds: 100, leastUrgent: 0 });
-    expect(service.clearingMilliseconds(route, 0)).toBeCloseTo(100 * most);
+    service.recordResponse(target, { route, key: 'object-1', milliseconds: 100, loadPerSlot: 0 });
+    const most = maxLoadPerSlot({ route, processingMilliseconds: 100, lowestPriority: 0 });
+    expect(service.backlogMilliseconds(route, 0)).toBeCloseTo(100 * most);
   });
 });
 
@@ -164,19 +164,19 @@
   it('has nothing of what was known of the one before', () => {
     const { clock, service, target } = setUpFirst();
     const now = clock.now();
-    target.word.recordLeaving();
+    target.signals.recordLeaving();
     target.inFlight = 4;
-    target.othersInFlight.set('host-2', 3);
+    target.peersInFlight.set('host-2', 3);
     target.recordLoad(9, now);
     target.recordFailure(now);
-    target.recordAnswer('object-1', now);
+    target.recordResponse('object-1', now);
     expect(service.put({ ...first, bornAt: 2_000, sequence: 1 })).toBe('reborn');
     const next = service.targets.get(first.id);
-    expect(next?.start).not.toBe(target.start);
+    expect(next?.incarnationId).not.toBe(target.incarnationId);
     expect(next?.leaving).toBe(false);
     expect(next?.load(now)).toBe(0);
     expect(next?.isEjected(now)).toBe(false);
-    expect(next?.isFamiliar('object-1', now)).toBe(false);
+    expect(next?.hasCached('object-1', now)).toBe(false);
     expect(choose(service, 'object-1')).toBe(next);
   });
 
@@ -191,7 +191,7 @@
     ['the same start, written earlier', { sequence: 899 }],
   ])('is no news by a record of %s', (_case, changes) => {
     const { service } = setUpFirst();
-    expect(service.isOldNews({ ...first, ...changes, state: 'draining' })).toBe(true);
+    expect(service.isStale({ ...first, ...changes, state: 'draining' })).toBe(true);
   });
 
   it.each([
@@ -201,7 +201,7 @@
     ['another target', { id: 'target-2', bornAt: 1 }],
   ])('is news by a record of %s', (_case, changes) => {
     const { service } = setUpFirst();
-    expect(service.isOldNews({ ...first, ...changes })).toBe(false);
+    expect(service.isStale({ ...first, ...changes })).toBe(false);
   });
 
   it('keeps its place in each key’s order, so that keys do not move', () => {
--- a/packages/routing/tests/sliding-count.test.ts
+++ b/packages/routing/tests/sliding-window-counter.test.ts
@@ -1,11 +1,11 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
-import { SlidingCount } from '../src/index.js';
+import { SlidingWindowCounter } from '../src/index.js';
 
 describe('SlidingCount', () => {
   it('counts at least what came in the window, and at most one bucket more', async () => {
     const clock = new FakeClock();
-    const count = new SlidingCount(clock, 1_000, 10);
+    const count = new SlidingWindowCounter(clock, 1_000, 10);
     const came: number[] = [];
     for (let step = 0; step < 300; step++) {
       await clock.advance(37);
@@ -20,7 +20,7 @@
 
   it('takes back what did not happen, and forgets all after a silence', async () => {
     const clock = new FakeClock();
-    const count = new SlidingCount(clock, 1_000);
+    const count = new SlidingWindowCounter(clock, 1_000);
     count.add(3);
     count.add(-1);
     expect(count.total).toBe(2);
--- a/packages/routing/tests/suspects/suspect-table.test.ts
+++ b/packages/routing/tests/suspects/suspect-table.test.ts
@@ -5,7 +5,7 @@
 import { FakeClock } from '@ferrylock/test-utils';
 import { SeededRandom, shuffled } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { ANSWERS_TO_TAKE_BACK, SuspectTable } from '../../src/suspects/suspect-table.js';
+import { RESPONSES_TO_CLEAR, SuspectTable } from '../../src/suspects/suspect-table.js';
 
 const MINUTE_MILLISECONDS = 60_000;
 
@@ -16,7 +16,7 @@
 
 function endAll(table: SuspectTable, fingerprint: string, targets: readonly string[]): void {
   for (const target of targets) {
-    table.recordEnd(fingerprint, target);
+    table.recordCrash(fingerprint, target);
   }
 }
 
@@ -33,43 +33,45 @@
   it('counts each start of a target once, whoever saw its end', () => {
     const { table } = setUp();
     endAll(table, 'bad', ['a', 'b', 'a']);
-    table.take([{ fingerprint: 'bad', ends: [{ target: 'a', ageMilliseconds: 9, answers: 0 }] }]);
-    expect(table.endsOf('bad')).toEqual(['a', 'b']);
+    table.merge([
+      { fingerprint: 'bad', crashes: [{ target: 'a', ageMilliseconds: 9, responses: 0 }] },
+    ]);
+    expect(table.crashesOf('bad')).toEqual(['a', 'b']);
   });
 
   it('lets a request in again once it has been answered twice, or in a trial', () => {
     const { table } = setUp();
     endAll(table, 'look-up', ['a', 'b', 'c']);
-    expect(table.recordAnswer('look-up')).toBe(true);
+    expect(table.recordResponse('look-up')).toBe(true);
     expect(table.isSuspect('look-up')).toBe(true);
-    expect(table.recordAnswer('look-up')).toBe(true);
+    expect(table.recordResponse('look-up')).toBe(true);
     expect(table.isSuspect('look-up')).toBe(false);
     endAll(table, 'look-up', ['d', 'e']);
     expect(table.isSuspect('look-up')).toBe(false);
     endAll(table, 'look-up', ['f']);
-    expect(table.endsOf('look-up')).toEqual(['d', 'e', 'f']);
-    table.recordAnswer('look-up', ANSWERS_TO_TAKE_BACK);
-    expect(table.endsOf('look-up')).toEqual([]);
+    expect(table.crashesOf('look-up')).toEqual(['d', 'e', 'f']);
+    table.recordResponse('look-up', RESPONSES_TO_CLEAR);
+    expect(table.crashesOf('look-up')).toEqual([]);
   });
 
   it('takes an end back whose target lives', () => {
     const { table } = setUp();
     endAll(table, 'one', ['a', 'b', 'c']);
     endAll(table, 'two', ['a']);
-    table.recordLife('a');
-    expect(table.endsOf('one')).toEqual(['b', 'c']);
-    expect(table.endsOf('two')).toEqual([]);
+    table.recordAlive('a');
+    expect(table.crashesOf('one')).toEqual(['b', 'c']);
+    expect(table.crashesOf('two')).toEqual([]);
   });
 
   it('does not count again what an answer took back, however late others tell of it', () => {
     const { clock, table } = setUp();
     const late = new SuspectTable(clock);
     endAll(table, 'look-up', ['a', 'b', 'c']);
-    late.take(table.tell('all'));
-    table.recordAnswer('look-up', ANSWERS_TO_TAKE_BACK);
-    table.take(late.tell('all'));
+    late.merge(table.report('all'));
+    table.recordResponse('look-up', RESPONSES_TO_CLEAR);
+    table.merge(late.report('all'));
     expect(table.isSuspect('look-up')).toBe(false);
-    late.take(table.tell('all'));
+    late.merge(table.report('all'));
     expect(late.isSuspect('look-up')).toBe(false);
   });
 
@@ -84,12 +86,12 @@
         const other = tables[Math.floor(random.next() * tables.length)];
         const target = `target-${Math.floor(random.next() * 7)}`;
         if (random.next() < 0.15) {
-          one?.recordAnswer('look-up');
+          one?.recordResponse('look-up');
         } else {
-          one?.recordEnd('look-up', target);
+          one?.recordCrash('look-up', target);
         }
-        const told = one?.tell('all') ?? [];
-        messages.push(() => other?.take(told));
+        const told = one?.report('all') ?? [];
+        messages.push(() => other?.merge(told));
       }
       for (const deliver of shuffled(random, [...messages, ...messages])) {
         deliver();
@@ -97,13 +99,13 @@
       await clock.advance(100);
       for (let round = 0; round < 3; round++) {
         for (const table of tables) {
-          const told = table.tell('all');
+          const told = table.report('all');
           for (const other of tables) {
-            other.take(told);
+            other.merge(told);
           }
         }
       }
-      const known = tables.map((table) => table.endsOf('look-up').sort().join());
+      const known = tables.map((table) => table.crashesOf('look-up').sort().join());
       expect(new Set(known).size, `seed ${seed}`).toBe(1);
     }
   });
@@ -114,18 +116,18 @@
     endAll(table, 'bad', ['a', 'b', 'c']);
     for (let minute = 0; minute < 11; minute++) {
       await clock.advance(MINUTE_MILLISECONDS);
-      table.recordAsked('bad');
+      table.recordArrival('bad');
       table.sweep();
     }
     expect([table.isSuspect('gone'), table.isSuspect('bad')]).toEqual([false, true]);
-    expect([table.hasHead('gone'), table.hasHead('bad')]).toEqual([false, true]);
+    expect([table.hasPrefix('gone'), table.hasPrefix('bad')]).toEqual([false, true]);
   });
 
   it('keeps 1,024 requests, and the strongest of them, whatever an account sends', () => {
     const { table } = setUp();
     endAll(table, 'bad', ['a', 'b', 'c']);
     for (let index = 0; index < 5_000; index++) {
-      table.recordEnd(`new-${index}`, `target-${index}`);
+      table.recordCrash(`new-${index}`, `target-${index}`);
     }
     expect(table.size).toBe(1_024);
     expect(table.isSuspect('bad')).toBe(true);
@@ -137,37 +139,37 @@
     const { table } = setUp();
     const first = Array.from({ length: 12 }, (_, index) => `first-${index}`);
     endAll(table, 'bad', first);
-    expect(table.endsOf('bad')).toHaveLength(8);
-    table.recordAnswer('bad', ANSWERS_TO_TAKE_BACK);
+    expect(table.crashesOf('bad')).toHaveLength(8);
+    table.recordResponse('bad', RESPONSES_TO_CLEAR);
     endAll(table, 'bad', ['a', 'b', 'c']);
-    expect(table.endsOf('bad')).toEqual(['a', 'b', 'c']);
+    expect(table.crashesOf('bad')).toEqual(['a', 'b', 'c']);
   });
 
   it('tells nothing at rest, news for three seconds, and then reminds of what has two ends', async () => {
     const { clock, table } = setUp();
-    expect(table.tell('all')).toEqual([]);
-    table.recordEnd('look-up', 'a');
+    expect(table.report('all')).toEqual([]);
+    table.recordCrash('look-up', 'a');
     endAll(table, 'bad', ['a', 'b']);
-    expect(table.tell('own').map(({ fingerprint }) => fingerprint)).toEqual(['bad', 'look-up']);
+    expect(table.report('own').map(({ fingerprint }) => fingerprint)).toEqual(['bad', 'look-up']);
     await clock.advance(4_000);
-    expect(table.tell('own')).toMatchObject([{ fingerprint: 'bad' }]);
+    expect(table.report('own')).toMatchObject([{ fingerprint: 'bad' }]);
   });
 
   it('passes on what it heard as a relay only', () => {
     const { clock, table } = setUp();
     const other = new SuspectTable(clock);
-    table.recordEnd('bad', 'a');
-    other.take(table.tell('own'));
-    expect([other.tell('own'), other.tell('all').length]).toEqual([[], 1]);
+    table.recordCrash('bad', 'a');
+    other.merge(table.report('own'));
+    expect([other.report('own'), other.report('all').length]).toEqual([[], 1]);
   });
 
   it('tells 18 requests at once at most, those with most ends first, and reminds of all in turn', async () => {
     const { clock, table } = setUp();
     for (let index = 0; index < 100; index++) {
-      table.recordEnd(`look-up-${index}`, 'a');
+      table.recordCrash(`look-up-${index}`, 'a');
     }
     endAll(table, 'bad', ['a', 'b', 'c']);
-    const told = table.tell('all');
+    const told = table.report('all');
     expect(told.length).toBeLessThanOrEqual(18);
     expect(told[0]?.fingerprint).toBe('bad');
     for (let index = 0; index < 9; index++) {
@@ -176,7 +178,7 @@
     await clock.advance(4_000);
     const reminded = new Set<string>();
     for (let round = 0; round < 5; round++) {
-      for (const { fingerprint } of table.tell('all')) {
+      for (const { fingerprint } of table.report('all')) {
         reminded.add(fingerprint);
       }
     }
--- a/packages/routing/tests/target-choice.test.ts
+++ b/packages/routing/tests/target-selector.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { NOTHING_LEFT_OUT, RegionPlacement, TargetChoice } from '../src/index.js';
-import type { TargetDemand, TargetState } from '../src/index.js';
+import { NO_DISABLED_MECHANISMS, RegionPlacement, TargetSelector } from '../src/index.js';
+import type { SelectionCriteria, TargetState } from '../src/index.js';
 import { makeTargetRecord } from '@ferrylock/test-utils';
 import { makeTargets, targetOf } from './fixtures.js';
 
@@ -16,15 +16,15 @@
   'odense-hal': 'fyn',
 };
 
-function makeDemand(changes: Partial<TargetDemand> = {}): TargetDemand {
+function makeDemand(changes: Partial<SelectionCriteria> = {}): SelectionCriteria {
   return {
     key: 'object-1',
     homeRegions: [],
     tried: new Set(),
-    mostLoadPerSlot: 1.5,
-    staysNear: false,
-    workMilliseconds: WORK,
-    extraMilliseconds: EXTRA,
+    maxLoadPerSlot: 1.5,
+    prefersOwnRegion: false,
+    processingMilliseconds: WORK,
+    missPenaltyMilliseconds: EXTRA,
     mayOverflow: true,
     ...changes,
   };
@@ -33,21 +33,21 @@
 function makeChoice(
   targets: Map<string, TargetState>,
   { ownRegion = 'none', evacuated = '' } = {},
-): TargetChoice {
+): TargetSelector {
   const regionOf = (failureDomain: string): string => REGIONS[failureDomain] ?? failureDomain;
   const placement = new RegionPlacement({
     ownRegion,
-    mostStepPerSecond: 1,
-    leftOut: NOTHING_LEFT_OUT,
+    maxStepPerSecond: 1,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   placement.update(roomsOf(targets, regionOf), NOW);
-  const choice = new TargetChoice({
+  const choice = new TargetSelector({
     ownRegion,
     regionOf,
     isEvacuated: (failureDomain) => failureDomain === evacuated,
     placement,
     roundTripMilliseconds: ({ record }) => (regionOf(record.failureDomain) === ownRegion ? 0 : FAR),
-    leftOut: NOTHING_LEFT_OUT,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   for (const target of targets.values()) {
     choice.add(target);
@@ -68,10 +68,10 @@
 const neverCold = (): boolean => false;
 
 /** The key's targets in the order of preference, found by excluding each in turn. */
-function orderOf(choice: TargetChoice, count: number, key = 'object-1'): string[] {
+function orderOf(choice: TargetSelector, count: number, key = 'object-1'): string[] {
   const tried = new Set<string>();
   for (let rank = 0; rank < count; rank++) {
-    tried.add(choice.choose(makeDemand({ key, tried }), NOW, neverCold)?.id ?? '');
+    tried.add(choice.select(makeDemand({ key, tried }), NOW, neverCold)?.id ?? '');
   }
   return [...tried];
 }
@@ -107,22 +107,22 @@
     // One more waits for a sixth of the work for each request over the slots.
     busy.inFlight = 7;
     expect((2 / 6) * WORK).toBeLessThan(EXTRA);
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(first);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(first);
     busy.inFlight = 8;
     expect((3 / 6) * WORK).toBeGreaterThan(EXTRA);
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(second);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(second);
   });
 
   it('passes a busy first target over at once for a second that knows the object', () => {
     const targets = makeTargets(20);
     const choice = makeChoice(targets);
     const [first = '', second = ''] = orderOf(choice, 2);
-    targetOf(targets, second).recordAnswer('object-1', NOW);
+    targetOf(targets, second).recordResponse('object-1', NOW);
     targetOf(targets, first).inFlight = 5;
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(first);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(first);
     targetOf(targets, first).inFlight = 6;
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(second);
-    expect(choice.choose(makeDemand(), NOW + 60_000, neverCold)?.id).toBe(first);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(second);
+    expect(choice.select(makeDemand(), NOW + 60_000, neverCold)?.id).toBe(first);
   });
 
   it('counts what other entry hosts have at a target', () => {
@@ -130,8 +130,8 @@
     const choice = makeChoice(targets);
     const [first = '', second] = orderOf(choice, 2);
     targetOf(targets, first).inFlight = 4;
-    targetOf(targets, first).othersInFlight.set('other-host', 4);
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(second);
+    targetOf(targets, first).peersInFlight.set('other-host', 4);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(second);
   });
 
   it('takes an unknown object to a second target only while half of its slots are free', () => {
@@ -140,20 +140,20 @@
     const [first = '', second = ''] = orderOf(choice, 2);
     targetOf(targets, first).inFlight = 8;
     targetOf(targets, second).inFlight = 2;
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(second);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(second);
     targetOf(targets, second).inFlight = 3;
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(first);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(first);
     targetOf(targets, first).inFlight = 9;
-    expect(choice.choose(makeDemand(), NOW, neverCold)).toBeUndefined();
+    expect(choice.select(makeDemand(), NOW, neverCold)).toBeUndefined();
   });
 
   it('takes unknown objects for dear before any was seen', () => {
     const targets = makeTargets(20);
     const choice = makeChoice(targets);
     const [first = ''] = orderOf(choice, 1);
-    const demand = makeDemand({ extraMilliseconds: undefined });
+    const demand = makeDemand({ missPenaltyMilliseconds: undefined });
     targetOf(targets, first).inFlight = 8;
-    expect(choice.choose(demand, NOW, neverCold)?.id).toBe(first);
+    expect(choice.select(demand, NOW, neverCold)?.id).toBe(first);
   });
 
   it('never goes beyond the two targets of a region that are to know the object', () => {
@@ -162,7 +162,7 @@
     for (const id of orderOf(choice, 2)) {
       targetOf(targets, id).inFlight = 12;
     }
-    expect(choice.choose(makeDemand(), NOW, neverCold)).toBeUndefined();
+    expect(choice.select(makeDemand(), NOW, neverCold)).toBeUndefined();
   });
 
   it('chooses none where every target has as much as it may', () => {
@@ -171,15 +171,15 @@
       target.inFlight = 9;
     }
     const choice = makeChoice(targets);
-    expect(choice.choose(makeDemand({ mostLoadPerSlot: 1.5 }), NOW, neverCold)).toBeUndefined();
-    expect(choice.choose(makeDemand({ mostLoadPerSlot: 1.6 }), NOW, neverCold)).toBeDefined();
+    expect(choice.select(makeDemand({ maxLoadPerSlot: 1.5 }), NOW, neverCold)).toBeUndefined();
+    expect(choice.select(makeDemand({ maxLoadPerSlot: 1.6 }), NOW, neverCold)).toBeDefined();
   });
 
   it('keeps every key in a region that can carry its callers', () => {
     const targets = makeTargets(30, Object.keys(REGIONS));
     const choice = makeChoice(targets, { ownRegion: 'fyn' });
     for (let index = 0; index < 50; index++) {
-      const target = choice.choose(makeDemand({ key: `object-${index}` }), NOW, neverCold);
+      const target = choice.select(makeDemand({ key: `object-${index}` }), NOW, neverCold);
       expect(target?.record.failureDomain).toBe('odense-hal');
     }
   });
@@ -187,7 +187,7 @@
   it('goes to another region that knows the object where the wait is longer than the way', () => {
     const targets = makeTargets(30, Object.keys(REGIONS));
     const choice = makeChoice(targets, { ownRegion: 'fyn' });
-    const regionOf = () => choice.choose(makeDemand(), NOW, neverCold)?.record.failureDomain;
+    const regionOf = () => choice.select(makeDemand(), NOW, neverCold)?.record.failureDomain;
     const home = [...targets.values()].filter(
       ({ record }) => record.failureDomain === 'odense-hal',
     );
@@ -206,8 +206,8 @@
     const choice = makeChoice(targets, { ownRegion: 'fyn' });
     const regionsOf = () =>
       Array.from({ length: 50 }, (_, index) => {
-        const demand = makeDemand({ key: `object-${index}`, staysNear: true });
-        return choice.choose(demand, NOW, neverCold)?.record.failureDomain;
+        const demand = makeDemand({ key: `object-${index}`, prefersOwnRegion: true });
+        return choice.select(demand, NOW, neverCold)?.record.failureDomain;
       });
     expect(new Set(regionsOf())).toEqual(new Set(['odense-hal']));
     for (const target of targets.values()) {
@@ -222,26 +222,26 @@
     const choice = makeChoice(targets);
     for (let index = 0; index < 100; index++) {
       const demand = makeDemand({ key: `object-${index}`, homeRegions: ['fyn'] });
-      expect(choice.choose(demand, NOW, neverCold)?.record.failureDomain).toBe('odense-hal');
+      expect(choice.select(demand, NOW, neverCold)?.record.failureDomain).toBe('odense-hal');
     }
   });
 
   it.each([
-    ['leaving', (target: TargetState) => target.word.recordLeaving()],
+    ['leaving', (target: TargetState) => target.signals.recordLeaving()],
     ['ejected', (target: TargetState) => target.recordFailure(NOW)],
   ])('passes a target over that is %s', (_state, change) => {
     const targets = makeTargets(20);
     const choice = makeChoice(targets);
     const [first = '', second] = orderOf(choice, 2);
     change(targetOf(targets, first));
-    expect(choice.choose(makeDemand(), NOW, neverCold)?.id).toBe(second);
+    expect(choice.select(makeDemand(), NOW, neverCold)?.id).toBe(second);
   });
 
   it('sends nothing to a failure domain that is being emptied', () => {
     const targets = makeTargets(30, Object.keys(REGIONS));
     const choice = makeChoice(targets, { evacuated: 'odense-hal' });
     for (let index = 0; index < 100; index++) {
-      const target = choice.choose(makeDemand({ key: `object-${index}` }), NOW, neverCold);
+      const target = choice.select(makeDemand({ key: `object-${index}` }), NOW, neverCold);
       expect(target?.record.failureDomain).not.toBe('odense-hal');
     }
   });
@@ -254,13 +254,13 @@
     for (const target of targets.values()) {
       target.inFlight = target === cold ? 0 : 12;
     }
-    expect(choice.choose(makeDemand(), NOW, neverCold)).toBeUndefined();
-    expect(choice.choose(makeDemand(), NOW, () => true)?.id).toBe('target-1');
+    expect(choice.select(makeDemand(), NOW, neverCold)).toBeUndefined();
+    expect(choice.select(makeDemand(), NOW, () => true)?.id).toBe('target-1');
   });
 
   it('tries failing targets where there are no others', () => {
     const targets = makeTargets(1);
     targets.get('target-0')?.recordFailure(NOW);
-    expect(makeChoice(targets).choose(makeDemand(), NOW, neverCold)?.id).toBe('target-0');
+    expect(makeChoice(targets).select(makeDemand(), NOW, neverCold)?.id).toBe('target-0');
   });
 });
--- a/packages/routing/tests/share-balancer.test.ts
+++ b/packages/routing/tests/traffic-splitter.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
-import { ShareBalancer } from '../src/index.js';
+import { TrafficSplitter } from '../src/index.js';
 import type { Route } from '../src/index.js';
 import { makeRoute } from '@ferrylock/test-utils';
 
@@ -16,12 +16,12 @@
     ['many keys', 500, { a: 90, b: 10 }],
     ['three services', 24, { a: 60, b: 25, c: 15 }],
   ])('holds each service’s part with %s', (_case, keys, weights) => {
-    const balancer = new ShareBalancer();
+    const balancer = new TrafficSplitter();
     const random = new SeededRandom(7);
     const route = makeSplit(weights);
     const counts = new Map<string, number>();
     for (let request = 0; request < 1_000; request++) {
-      const service = balancer.choose(route, `object-${Math.floor(random.next() * keys)}`);
+      const service = balancer.pick(route, `object-${Math.floor(random.next() * keys)}`);
       counts.set(service, (counts.get(service) ?? 0) + 1);
     }
     for (const [service, weight] of Object.entries(weights)) {
@@ -30,13 +30,13 @@
   });
 
   it('keeps most requests of a key with one service', () => {
-    const balancer = new ShareBalancer();
+    const balancer = new TrafficSplitter();
     const random = new SeededRandom(7);
     const route = makeSplit({ a: 50, b: 50 });
     const byKey = new Map<string, Map<string, number>>();
     for (let request = 0; request < 3_000; request++) {
       const key = `object-${Math.floor(random.next() * 60)}`;
-      const service = balancer.choose(route, key);
+      const service = balancer.pick(route, key);
       const counts = byKey.get(key) ?? new Map<string, number>();
       counts.set(service, (counts.get(service) ?? 0) + 1);
       byKey.set(key, counts);
@@ -49,13 +49,13 @@
   });
 
   it('follows new weights', () => {
-    const balancer = new ShareBalancer();
+    const balancer = new TrafficSplitter();
     for (let request = 0; request < 300; request++) {
-      balancer.choose(makeSplit({ a: 100, b: 0 }), `object-${request % 10}`);
+      balancer.pick(makeSplit({ a: 100, b: 0 }), `object-${request % 10}`);
     }
     let toB = 0;
     for (let request = 0; request < 300; request++) {
-      toB += balancer.choose(makeSplit({ a: 0, b: 100 }), `object-${request % 10}`) === 'b' ? 1 : 0;
+      toB += balancer.pick(makeSplit({ a: 0, b: 100 }), `object-${request % 10}`) === 'b' ? 1 : 0;
     }
     expect(toB).toBe(300);
   });
--- a/packages/routing/tests/two-regions.ts
+++ b/packages/routing/tests/two-regions.ts
@@ -1,6 +1,6 @@
 import { FakeClock, makeRoute, makeTargetRecord } from '@ferrylock/test-utils';
-import { NO_LIMITS, NOTHING_LEFT_OUT, OverflowAllowance, ServiceTargets } from '../src/index.js';
-import type { SeekingRequest, ServiceTargetsOptions, TargetRecord } from '../src/index.js';
+import { NO_LIMITS, NO_DISABLED_MECHANISMS, OverflowBudget, ServiceTargets } from '../src/index.js';
+import type { SelectionRequest, ServiceTargetsOptions, TargetRecord } from '../src/index.js';
 
 const REGIONS: Record<string, string> = { 'aarhus-hal': 'jylland', 'odense-hal': 'fyn' };
 const KEYS = Array.from({ length: 200 }, (_, index) => `object-${index}`);
@@ -15,14 +15,14 @@
   const bound = { share: 0.15, windowMilliseconds: 2_000 };
   const service = new ServiceTargets('verdict-api', {
     clock,
-    overflows: new OverflowAllowance({ clock, bound, ownName: 'host-1' }),
-    retryBound: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
+    overflows: new OverflowBudget({ clock, bound, ownName: 'host-1' }),
+    retryBudget: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
     regionOf: (failureDomain) => REGIONS[failureDomain] ?? failureDomain,
     ownRegion: 'jylland',
     isEvacuated: () => false,
-    shiftBound: bound,
+    regionShiftLimit: bound,
     limits,
-    leftOut: NOTHING_LEFT_OUT,
+    disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   return { clock, service };
 }
@@ -39,14 +39,14 @@
 /** Names of targets that requests for all objects are sent to, at one moment. */
 export function reached(
   service: ServiceTargets,
-  changes: Partial<SeekingRequest> = {},
+  changes: Partial<SelectionRequest> = {},
 ): Set<string | undefined> {
   const chosen = KEYS.map((key) =>
-    service.choose({
+    service.select({
       route: makeRoute(),
       key,
       tried: new Set(),
-      leastUrgent: 0,
+      lowestPriority: 0,
       ownName: 'host-1',
       coldSenders: ['host-1'],
       ...changes,
--- a/packages/steering/src/targets/target.ts
+++ b/packages/steering/src/targets/target.ts
@@ -1,4 +1,4 @@
-import { TargetWord } from '@ferrylock/routing';
+import { TargetSignals } from '@ferrylock/routing';
 import type { TargetDeclaration } from '@ferrylock/schema';
 import { MovingAverage } from '@ferrylock/utils';
 import type { SharedBucket } from '../limits/shared-bucket.js';
@@ -27,7 +27,7 @@
   /** Answers to requests that said that it leaves: a probe that was under way then does not take it back. */
   saidLeaving = 0;
   /** What it has said of itself in its answers. */
-  readonly word = new TargetWord();
+  readonly word = new TargetSignals();
   /**
    * This daemon's part of the requests a second that it takes from all daemons together, as its answers name them; undefined where
    * they name none.
--- a/packages/test-utils/src/crash-fleet.ts
+++ b/packages/test-utils/src/crash-fleet.ts
@@ -171,11 +171,11 @@
     const service = member.state.service(serviceOf(route));
     return route === undefined
       ? undefined
-      : service?.choose({
+      : service?.select({
           route,
           key: name,
           tried,
-          leastUrgent: 2,
+          lowestPriority: 2,
           ownName: record.name,
           coldSenders: member.hostNames,
         });
@@ -207,7 +207,7 @@
       const [route] = this.fleet.routes;
       const milliseconds = clock.now() - sentAt;
       if (route !== undefined) {
-        service?.recordAnswer(target, { route, key: request.name, milliseconds, loadPerSlot: 0 });
+        service?.recordResponse(target, { route, key: request.name, milliseconds, loadPerSlot: 0 });
       }
     }
     return outcome;
@@ -237,7 +237,7 @@
   }
 
   #recordAnswer({ member, record }: EntryFleetHost, { name }: RepeatedRequest): void {
-    this.#tableOf(record.name).recordAnswer(name);
+    this.#tableOf(record.name).recordResponse(name);
     member.suspects.recordAnswer(name);
   }
 
@@ -256,9 +256,9 @@
     const lost = { fingerprint: name, requestId: name, route: name, path: name };
     this.#options.clock.after(NOTICED_AFTER_MILLISECONDS, () => {
       if (this.#options.way === 'alone') {
-        this.#tableOf(record.name).recordEnd(name, id);
+        this.#tableOf(record.name).recordCrash(name, id);
       } else if (this.#options.way !== 'nothing') {
-        member.suspects.recordEnd({ target: id, requests: [lost] });
+        member.suspects.recordCrash({ target: id, requests: [lost] });
       }
     });
   }
--- a/packages/test-utils/src/entry-fleet.ts
+++ b/packages/test-utils/src/entry-fleet.ts
@@ -2,12 +2,12 @@
 import type { EntryHostRecord, EntryHostSettings, PeerCalls } from '@ferrylock/entry';
 import type {
   ClientAccount,
-  LeftOut,
+  DisabledMechanisms,
   Route,
   RouteConfiguration,
   TargetState,
 } from '@ferrylock/routing';
-import { NOTHING_LEFT_OUT } from '@ferrylock/routing';
+import { NO_DISABLED_MECHANISMS } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import { randomIndex, SeededRandom, silentLogger } from '@ferrylock/utils';
 import { Err, Ok } from 'ts-results-es';
@@ -39,7 +39,7 @@
   /** Client accounts, where callers need one. */
   readonly accounts?: readonly ClientAccount[];
   /** Decisions that hosts do without, to compare with. */
-  readonly leftOut?: LeftOut;
+  readonly disabledMechanisms?: DisabledMechanisms;
 }
 
 /** What the hosts have sent so far. */
@@ -168,13 +168,13 @@
       this.refused++;
       return;
     }
-    service.asked.record();
-    service.retries.recordRequest();
-    const target = service.choose({
+    service.requestRate.record();
+    service.retryBudget.recordRequest();
+    const target = service.select({
       route,
       key: `key-${randomIndex(this.#random, keys)}`,
       tried: new Set(),
-      leastUrgent: 2,
+      lowestPriority: 2,
       ownName: record.name,
       coldSenders: member.hostNames,
     });
@@ -254,9 +254,9 @@
       events: new EventLog(silentLogger),
       store,
       peerCalls: this.#callsOf(record),
-      openDatagrams: (onMessage) => this.#open(record, onMessage),
+      createTransport: (onMessage) => this.#open(record, onMessage),
       onSweep: () => undefined,
-      busyShare: () => 0.05,
+      utilization: () => 0.05,
     });
     this.#byControlAddress.set(record.controlAddress, member);
     this.#regionOfAddress.set(record.reportAddress, region);
@@ -281,15 +281,15 @@
       ...record,
       regions: this.#regions,
       seedAddresses: [],
-      mostHeldBodyBytes: 1,
-      stopMilliseconds: 6_000,
+      maxBufferedBodyBytes: 1,
+      shutdownTimeoutMilliseconds: 6_000,
       drainMilliseconds: 3_000,
-      retryBound: { ratio: 0.2, slack: 430, windowMilliseconds: 10_000 },
-      shiftBound: { share: 0.15, windowMilliseconds: 2_000 },
-      quotaBound: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
+      retryBudget: { ratio: 0.2, slack: 430, windowMilliseconds: 10_000 },
+      regionShiftLimit: { share: 0.15, windowMilliseconds: 2_000 },
+      quotaPolicy: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
       isFirstStart: true,
-      leftOut: this.#options.leftOut ?? NOTHING_LEFT_OUT,
-      longestDirectoryLifetimeMilliseconds: 5_000,
+      disabledMechanisms: this.#options.disabledMechanisms ?? NO_DISABLED_MECHANISMS,
+      maxDirectoryTtlMilliseconds: 5_000,
     };
   }
 
@@ -329,7 +329,7 @@
           return Err('nobody answers');
         }
         const text = JSON.stringify(
-          peer.changes.deltaFor({ afterEpoch: after.epoch, afterRevision: after.revision }),
+          peer.viewExchange.deltaFor({ afterEpoch: after.epoch, afterRevision: after.revision }),
         );
         this.counts.callBytes += text.length + CALL_HEADER_BYTES;
         return Ok(deltaResultSchema.parse(JSON.parse(text)));
--- a/packages/test-utils/src/quotas/quota-fleet.ts
+++ b/packages/test-utils/src/quotas/quota-fleet.ts
@@ -1,5 +1,5 @@
-import { forgottenShare, HeldCounts } from '@ferrylock/routing';
-import type { ClientAccount, QuotaBound } from '@ferrylock/routing';
+import { unaccountedShare, ReportedCounts } from '@ferrylock/routing';
+import type { ClientAccount, QuotaPolicy } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import { SeededRandom } from '@ferrylock/utils';
 import type { MakeQuotaWay, QuotaWay, ToldUsage } from './quota-way.js';
@@ -14,14 +14,14 @@
 /** Time after which nothing is taken to be asked of a silent host. */
 const SILENCE_MILLISECONDS = 1_800;
 const ACCOUNT = 'account';
-const NOTHING: ToldUsage = { used: 0, askedPerSecond: 0 };
+const NOTHING: ToldUsage = { used: 0, demandPerSecond: 0 };
 /** What a process does not remember before its start: from a kill to the first request, at least. */
 const DOWN_MILLISECONDS = 1_000;
 
 export interface QuotaFleetOptions {
   readonly hosts: number;
   readonly account: ClientAccount;
-  readonly bound: QuotaBound;
+  readonly bound: QuotaPolicy;
   readonly seed: number;
   readonly makeWay: MakeQuotaWay;
   /** Time between two digests to one host. */
@@ -65,7 +65,7 @@
   readonly #hosts: EmulatedHost[];
   readonly #snapshots: Snapshot[] = [];
   /** What the relays know of each host. */
-  #held: HeldCounts;
+  #held: ReportedCounts;
   #account: ClientAccount;
   #now = 0;
   #starts = 0;
@@ -78,7 +78,7 @@
     this.#options = options;
     this.#account = options.account;
     this.#random = new SeededRandom(options.seed);
-    this.#held = new HeldCounts(this, options.bound.windowMilliseconds);
+    this.#held = new ReportedCounts(this, options.bound.windowMilliseconds);
     this.#hosts = Array.from({ length: options.hosts }, () => this.#makeHost(-Infinity));
   }
 
@@ -129,12 +129,12 @@
   /** Starts all that were killed, with nothing remembered. */
   restart(): void {
     if (this.#hosts.every(({ isDown }) => isDown)) {
-      this.#held = new HeldCounts(this, this.#options.bound.windowMilliseconds);
+      this.#held = new ReportedCounts(this, this.#options.bound.windowMilliseconds);
       this.#snapshots.length = 0;
     }
     for (const [index, host] of this.#hosts.entries()) {
       if (host.isDown) {
-        this.#held.end(host.source);
+        this.#held.markEnded(host.source);
         this.#hosts[index] = this.#makeHost(this.#now);
       }
     }
@@ -190,12 +190,12 @@
     const ofHosts = this.#hosts.map((host, index) => this.#toldBy(index, host));
     for (const [index, { isDown, isCut, source }] of this.#hosts.entries()) {
       if (!isDown && !isCut) {
-        this.#held.take(source, { [ACCOUNT]: ofHosts[index]?.used ?? 0 });
+        this.#held.record(source, { [ACCOUNT]: ofHosts[index]?.used ?? 0 });
       }
     }
     const used = this.#held.of(ACCOUNT, () => true);
-    const askedPerSecond = sum(ofHosts.map((told) => told.askedPerSecond));
-    this.#snapshots.push({ total: { used, askedPerSecond }, ofHosts });
+    const askedPerSecond = sum(ofHosts.map((told) => told.demandPerSecond));
+    this.#snapshots.push({ total: { used, demandPerSecond: askedPerSecond }, ofHosts });
     if (this.#snapshots.length > KEPT_SNAPSHOTS) {
       this.#snapshots.shift();
     }
@@ -222,7 +222,7 @@
     const own = ofHosts[index] ?? NOTHING;
     host.told = {
       used: Math.max(0, total.used - own.used),
-      askedPerSecond: Math.max(0, total.askedPerSecond - own.askedPerSecond),
+      demandPerSecond: Math.max(0, total.demandPerSecond - own.demandPerSecond),
     };
     host.heardAt = this.#now;
     const heard = this.#hosts.filter(({ isDown, isCut }) => !isDown && !isCut);
@@ -260,9 +260,9 @@
       heardShare: this.#heardShare(host),
       fleet: {
         isAlone: this.#hosts.length === 1,
-        deafMilliseconds,
-        blindShare: 1 / (3 * this.#hosts.length),
-        forgottenShare: forgottenShare(remembered, windowMilliseconds),
+        peerReportAgeMilliseconds: deafMilliseconds,
+        isolatedShare: 1 / (3 * this.#hosts.length),
+        unaccountedShare: unaccountedShare(remembered, windowMilliseconds),
       },
     };
   }
--- a/packages/test-utils/src/quotas/quota-way.ts
+++ b/packages/test-utils/src/quotas/quota-way.ts
@@ -1,17 +1,17 @@
-import type { ClientAccount, FleetKnowledge, QuotaBound } from '@ferrylock/routing';
+import type { ClientAccount, PeerVisibility, QuotaPolicy } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 
 /** What one emulated host tells of an account. */
 export interface ToldUsage {
   readonly used: number;
-  readonly askedPerSecond: number;
+  readonly demandPerSecond: number;
 }
 
 /** What one emulated host knows when a request comes. */
 export interface QuotaSight {
   /** All other hosts together, as told last. */
   readonly others: ToldUsage;
-  readonly fleet: FleetKnowledge;
+  readonly fleet: PeerVisibility;
   /** Hosts that have callers of the account. */
   readonly askedHosts: number;
   readonly hosts: number;
@@ -32,7 +32,7 @@
 
 export interface QuotaWayOptions {
   readonly account: ClientAccount;
-  readonly bound: QuotaBound;
+  readonly bound: QuotaPolicy;
   readonly clock: Clock;
   readonly random: Random;
 }
--- a/packages/test-utils/src/quotas/told-use.ts
+++ b/packages/test-utils/src/quotas/told-use.ts
@@ -8,7 +8,7 @@
     setAccount: (changed) => {
       quota.account = changed;
     },
-    take: ({ others, fleet }) => quota.take(others, fleet) === undefined,
-    tell: () => ({ used: quota.used, askedPerSecond: quota.askedPerSecond }),
+    take: ({ others, fleet }) => quota.acquire(others, fleet) === undefined,
+    tell: () => ({ used: quota.used, demandPerSecond: quota.demandPerSecond }),
   };
 };
--- a/packages/test-utils/src/words/told-rests.ts
+++ b/packages/test-utils/src/words/told-rests.ts
@@ -57,7 +57,7 @@
       return;
     }
     if (others === 'the-same') {
-      target.word.recordRest(until - now, now);
+      target.signals.recordRest(until - now, now);
     } else {
       target.recordShed(now);
       clock.after(HINT_MILLISECONDS, () => {
--- a/packages/test-utils/src/words/word-fleet.ts
+++ b/packages/test-utils/src/words/word-fleet.ts
@@ -1,5 +1,5 @@
-import { EventLog, TargetWords } from '@ferrylock/entry';
-import type { LeftOut, Route, ServiceTargets, TargetState } from '@ferrylock/routing';
+import { EventLog, TargetSignalRecorder } from '@ferrylock/entry';
+import type { DisabledMechanisms, Route, ServiceTargets, TargetState } from '@ferrylock/routing';
 import type { Clock, Random } from '@ferrylock/utils';
 import { randomIndex, SeededRandom, silentLogger } from '@ferrylock/utils';
 import type { EntryFleetHost } from '../entry-fleet.js';
@@ -35,13 +35,13 @@
   /** How a host comes back to a target whose rest is over: at once, unless it is to be compared. */
   readonly comeBack?: 'at-once' | 'by-steps';
   /** Decisions that hosts do without, to compare with. */
-  readonly leftOut?: LeftOut;
+  readonly disabledMechanisms?: DisabledMechanisms;
 }
 
 /** One caller's request. */
 interface Asked {
   readonly host: EntryFleetHost;
-  readonly words: TargetWords;
+  readonly words: TargetSignalRecorder;
   readonly key: string;
   readonly askedAt: number;
 }
@@ -66,7 +66,7 @@
   readonly times: number[] = [];
   readonly #options: WordFleetOptions;
   readonly #random: Random;
-  readonly #words = new Map<string, TargetWords>();
+  readonly #words = new Map<string, TargetSignalRecorder>();
   readonly #loads = new Map<string, EmulatedLoad>();
   readonly #told: ToldRests;
   /** Requests that a host may have at a target that it comes back to, by host and target. */
@@ -143,12 +143,12 @@
     if (service === undefined || route === undefined) {
       return 'refused';
     }
-    service.asked.record();
-    service.retries.recordRequest();
+    service.requestRate.record();
+    service.retryBudget.recordRequest();
     const tried = new Set<string>();
     while (tried.size < MOST_SENDS) {
       const isAgain = tried.size > 0;
-      if (isAgain && !service.retries.tryTake(this.fleet.hosts.length)) {
+      if (isAgain && !service.retryBudget.tryAcquire(this.fleet.hosts.length)) {
         return 'refused';
       }
       const target = this.#choose(asked, service, route, tried);
@@ -169,11 +169,11 @@
     route: Route,
     tried: ReadonlySet<string>,
   ): TargetState | undefined {
-    return service.choose({
+    return service.select({
       route,
       key,
       tried: this.#withHeldBack(record.name, service, tried),
-      leastUrgent: 2,
+      lowestPriority: 2,
       ownName: record.name,
       coldSenders: member.hostNames,
     });
@@ -215,7 +215,7 @@
     const load = isTurnedAway ? undefined : await this.#run(target, key);
     await clock.sleep(this.#way);
     target.inFlight--;
-    words.take(
+    words.recordResponse(
       service,
       target,
       {
@@ -234,7 +234,7 @@
     }
     target.recordLoad(load ?? 0, clock.now());
     this.#takeStep(host, target);
-    service.recordAnswer(target, { route, key, milliseconds: clock.now() - sentAt, loadPerSlot });
+    service.recordResponse(target, { route, key, milliseconds: clock.now() - sentAt, loadPerSlot });
     return true;
   }
 
@@ -279,16 +279,16 @@
     return host?.member.state.service(this.fleet.routes[0]?.shares[0]?.service ?? '');
   }
 
-  #wordsOf({ record, member }: EntryFleetHost): TargetWords {
+  #wordsOf({ record, member }: EntryFleetHost): TargetSignalRecorder {
     const { clock } = this.#options;
     const known = this.#words.get(record.name);
     const words =
       known ??
-      new TargetWords({
+      new TargetSignalRecorder({
         clock,
         events: new EventLog(silentLogger),
-        onLimit: (target) => {
-          member.limits.recordWord(target);
+        onLimitChange: (target) => {
+          member.limits.recordLimitChange(target);
         },
       });
     this.#words.set(record.name, words);
--- a/packages/utils/src/hash.ts
+++ b/packages/utils/src/hash.ts
@@ -10,7 +10,7 @@
  * A 32-bit hash of two hashes, the same in every process. Ranking hundreds of members for each of
  * hundreds of keys by the hash of a joined text takes 15 times as long in a fresh process.
  */
-export function mixedHash(one: number, other: number): number {
+export function combineHashes(one: number, other: number): number {
   let hash = one ^ Math.imul(other, 0x9e37_79b1);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85eb_ca6b);
   hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2_ae35);
--- a/packages/utils/tests/parse-failure.test.ts
+++ b/packages/utils/tests/describe-parse-error.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest';
-import { parseFailure } from '../src/index.js';
+import { describeParseError } from '../src/index.js';
 
 function failureOf(text: string): string {
   try {
     JSON.parse(text);
     return 'read';
   } catch (error) {
-    return parseFailure(error);
+    return describeParseError(error);
   }
 }
 
@@ -19,6 +19,6 @@
   );
 
   it('passes on what else went wrong', () => {
-    expect(parseFailure(new RangeError('out of range'))).toBe('RangeError: out of range');
+    expect(describeParseError(new RangeError('out of range'))).toBe('RangeError: out of range');
   });
 });
