--- a/packages/entry/src/peers/account-rows.ts
+++ b/packages/entry/src/peers/account-rows.ts
@@ -3,30 +3,30 @@
 import { decodeRows, encodeRows } from './rows.js';
 
 /**
- * Use of accounts' limits as rows of text: account, requests in the window, requests a second. A row that
- * makes no sense is passed over: the other news of its message counts all the same.
+ * Usage of account limits as rows: account, requests in the window, requests per second. Malformed
+ * rows are skipped, so that the rest of the message still applies.
  */
 export const accountUsageSchema = z.string().transform((text): UsageByName => {
   const used: Record<string, number> = {};
-  const asked: Record<string, number> = {};
-  for (const [account = '', usedText = '', askedText = ''] of decodeRows(text)) {
-    const [ofWindow, ofSecond] = [Number.parseInt(usedText, 10), Number.parseInt(askedText, 10)];
-    if (ofWindow >= 0 && ofSecond >= 0) {
-      used[account] = ofWindow;
-      asked[account] = ofSecond;
+  const demand: Record<string, number> = {};
+  for (const [account = '', usedText = '', demandText = ''] of decodeRows(text)) {
+    const [inWindow, perSecond] = [Number.parseInt(usedText, 10), Number.parseInt(demandText, 10)];
+    if (inWindow >= 0 && perSecond >= 0) {
+      used[account] = inWindow;
+      demand[account] = perSecond;
     }
   }
-  return { used, demand: asked };
+  return { used, demand };
 });
 
-/** The form that {@link accountUsageSchema} reads; empty at rest. */
-export function encodeAccountUsage({ used, demand: asked }: UsageByName): string {
-  const accounts = new Set([...Object.keys(used), ...Object.keys(asked)]);
+/** The form that {@link accountUsageSchema} reads; empty without usage. */
+export function encodeAccountUsage({ used, demand }: UsageByName): string {
+  const accounts = new Set([...Object.keys(used), ...Object.keys(demand)]);
   return encodeRows(
     [...accounts].map((account) => [
       account,
       Math.ceil(used[account] ?? 0),
-      Math.ceil(asked[account] ?? 0),
+      Math.ceil(demand[account] ?? 0),
     ]),
   );
 }
--- a/packages/entry/src/peers/datagram-transport.ts
+++ b/packages/entry/src/peers/datagram-transport.ts
@@ -1,10 +1,10 @@
-/** Carries short messages between hosts. One may get lost, and is made good by the next. */
+/** Unreliable transport of short messages between hosts; each message supersedes the one before. */
 export interface DatagramTransport {
-  /** Begins to take messages and tells the address, with the port that was taken. */
+  /** Starts receiving and returns the bound address with its port. */
   listen(address: string): Promise<string>;
   send(address: string, text: string): void;
   close(): void;
 }
 
-/** Makes the way by which one host sends and takes messages. */
+/** Creates the transport of one host. */
 export type CreateTransport = (onMessage: (text: string) => void) => DatagramTransport;
--- a/packages/entry/src/peers/fleet-summary.ts
+++ b/packages/entry/src/peers/fleet-summary.ts
@@ -4,29 +4,28 @@
 import { rateFields, parseRates } from './host-status.js';
 import { decodeRows, encodeRows } from './rows.js';
 
-/** Digits after the point of cores: thousandths are far below what a host can tell apart. */
+/** Decimal digits of a number of cores. */
 const CORES_DIGITS = 3;
 
-/** One region as relays tell it. */
+/** State of one region as reported by relays. */
 export interface RegionSummary {
-  /** Cores that its hosts are busy with. */
+  /** Busy cores of its hosts. */
   readonly busyCores: number;
-  /** What its callers ask for. */
+  /** Demand of its callers. */
   readonly asked: RequestRates;
 }
 
 /**
- * The whole fleet as a relay tells it to the hosts of its failure domain. All registered hosts take
- * callers but those that it names: on an ordinary day that is an empty list, where a row for each
- * host would be read by each host several times a second.
+ * State of the whole fleet as a relay reports it to the hosts of its failure domain. It lists the
+ * registered hosts that do not serve, usually none, to keep digests small.
  */
 export interface FleetSummary {
-  /** Starts of hosts that are silent or leave, as {@link incarnationKey} names them. */
+  /** Hosts that timed out or are leaving, by {@link incarnationKey}. */
   readonly absent: ReadonlySet<string>;
   readonly regions: ReadonlyMap<string, RegionSummary>;
 }
 
-/** Names one start of a host. */
+/** Key of one incarnation of a host. */
 export function incarnationKey({
   name,
   incarnation,
@@ -38,16 +37,16 @@
   return absent.size > 0 && absent.has(incarnationKey(host));
 }
 
-/** Regions as rows of text: name, work, then services and their rates. */
+/** Regions as rows: name, busy cores, then services and their rates. */
 export const regionSummariesSchema = z.string().transform((text, context) => {
   const regions = new Map<string, RegionSummary>();
-  for (const [region = '', work = '', ...rates] of decodeRows(text)) {
-    const told = { busyCores: Number(work), asked: parseRates(rates) };
-    if (![told.busyCores, ...Object.values(told.asked)].every(Number.isFinite)) {
-      context.addIssue('expected rows of a region, cores, services and their rates');
+  for (const [region = '', busyCores = '', ...rates] of decodeRows(text)) {
+    const summary = { busyCores: Number(busyCores), asked: parseRates(rates) };
+    if (![summary.busyCores, ...Object.values(summary.asked)].every(Number.isFinite)) {
+      context.addIssue('expected rows of region, busy cores and pairs of service and rate');
       return z.NEVER;
     }
-    regions.set(region, told);
+    regions.set(region, summary);
   }
   return regions;
 });
@@ -55,20 +54,20 @@
 /** The form that {@link regionSummariesSchema} reads. */
 export function encodeRegionSummaries(regions: ReadonlyMap<string, RegionSummary>): string {
   return encodeRows(
-    [...regions].map(([region, { busyCores: work, asked }]) => [
+    [...regions].map(([region, { busyCores, asked }]) => [
       region,
-      work.toFixed(CORES_DIGITS),
+      busyCores.toFixed(CORES_DIGITS),
       ...rateFields(asked),
     ]),
   );
 }
 
-/** Starts of hosts as rows of text. */
+/** Incarnation keys of hosts as rows. */
 export const incarnationKeysSchema = z
   .string()
-  .transform((text) => new Set(decodeRows(text).map(([start = '']) => start)));
+  .transform((text) => new Set(decodeRows(text).map(([key = '']) => key)));
 
 /** The form that {@link incarnationKeysSchema} reads. */
-export function encodeIncarnationKeys(starts: Iterable<string>): string {
-  return encodeRows([...starts].map((start) => [start]));
+export function encodeIncarnationKeys(keys: Iterable<string>): string {
+  return encodeRows([...keys].map((key) => [key]));
 }
--- a/packages/entry/src/peers/host-status.ts
+++ b/packages/entry/src/peers/host-status.ts
@@ -2,38 +2,35 @@
 import { decodeRows, encodeRows } from './rows.js';
 
 const PERCENT = 100;
-/**
- * Digits after the point of a rate. In a large fleet a host has less than one request a second of a
- * service: rounded to whole ones, what its region asks for came out as nothing or as too much.
- */
+/** Decimal digits of a rate; in a large fleet, a host may see less than one request per second. */
 const RATE_DIGITS = 2;
 const LEAVING = '1';
 const STAYING = '0';
 
-/** One start of an entry host, as it says of itself. */
+/** Status that one incarnation of an entry host reports. */
 export interface HostStatus {
   readonly name: string;
-  /** Names this start of its process. */
+  /** Identifies the process. */
   readonly incarnation: string;
-  /** Grows with each report of an incarnation, so that what is told again is known to be old. */
+  /** Increases with each report of an incarnation; used to discard stale reports. */
   readonly sequence: number;
-  /** It takes no new callers. */
+  /** Accepts no new callers. */
   readonly leaving: boolean;
-  /** Part of its time in which it has work, from 0 to 1. */
+  /** Fraction of time spent busy, from 0 to 1. */
   readonly utilization: number;
-  /** Requests a second of its callers, by service; services without any are left out. */
+  /** Demand of its callers by service; zero rates are omitted. */
   readonly asked: RequestRates;
 }
 
-/** Requests a second by service. */
+/** Requests per second by service. */
 export type RequestRates = Readonly<Record<string, number>>;
 
-/** Hosts' statuses as rows of text: a digest holds one for every host that its sender hears. */
+/** Host statuses as rows. */
 export const hostStatusesSchema = z.string().transform((text, context): HostStatus[] => {
   const statuses = decodeRows(text).map(toStatus);
   if (!statuses.every(isComplete)) {
     context.addIssue(
-      'expected rows of name, incarnation, sequence, leaving, busy percent, services and their rates',
+      'expected rows of name, incarnation, sequence, leaving, utilization percent and pairs of service and rate',
     );
   }
   return statuses;
@@ -42,35 +39,35 @@
 /** The form that {@link hostStatusesSchema} reads. */
 export function encodeStatuses(statuses: readonly HostStatus[]): string {
   return encodeRows(
-    statuses.map(({ name, incarnation, sequence, leaving, utilization: busyShare, asked }) => [
+    statuses.map(({ name, incarnation, sequence, leaving, utilization, asked }) => [
       name,
       incarnation,
       sequence,
       leaving ? LEAVING : STAYING,
-      Math.round(busyShare * PERCENT),
+      Math.round(utilization * PERCENT),
       ...rateFields(asked),
     ]),
   );
 }
 
 function toStatus([name = '', incarnation = '', ...rest]: readonly string[]): HostStatus {
-  const [sequence, leaving, busyPercent, ...rates] = rest;
+  const [sequence, leaving, utilizationPercent, ...rates] = rest;
   return {
     name,
     incarnation,
     sequence: Number.parseInt(sequence ?? '', 10),
     leaving: leaving === LEAVING,
-    utilization: Number.parseInt(busyPercent ?? '', 10) / PERCENT,
+    utilization: Number.parseInt(utilizationPercent ?? '', 10) / PERCENT,
     asked: parseRates(rates),
   };
 }
 
-/** Services and their rates in turn, as {@link parseRates} reads them. */
+/** The form that {@link parseRates} reads. */
 export function rateFields(rates: RequestRates): string[] {
   return Object.entries(rates).flatMap(([service, rate]) => [service, rate.toFixed(RATE_DIGITS)]);
 }
 
-/** Services and their rates in turn. */
+/** Parses services, each followed by its rate. */
 export function parseRates(fields: readonly string[]): RequestRates {
   const rates: Record<string, number> = {};
   for (let index = 0; index < fields.length; index += 2) {
@@ -79,6 +76,6 @@
   return rates;
 }
 
-function isComplete({ sequence, utilization: busyShare, asked }: HostStatus): boolean {
-  return ![sequence, busyShare, ...Object.values(asked)].some(Number.isNaN);
+function isComplete({ sequence, utilization, asked }: HostStatus): boolean {
+  return ![sequence, utilization, ...Object.values(asked)].some(Number.isNaN);
 }
--- a/packages/entry/src/peers/in-flight.ts
+++ b/packages/entry/src/peers/in-flight.ts
@@ -2,19 +2,21 @@
 import type { Counts } from './counts.js';
 import { decodeRows, encodeRows } from './rows.js';
 
-/** Requests at targets, by the name of the target's start; those without any are left out. */
+/** Requests in flight by target incarnation; zero counts are omitted. */
 export type InFlightCounts = Counts;
 
-/** Requests at targets as rows of text. */
+/** Requests in flight as rows: target incarnation, count. */
 export const inFlightCountsSchema = z.string().transform((text, context): InFlightCounts => {
   const inFlight: Record<string, number> = {};
-  for (const [start = '', count = ''] of decodeRows(text)) {
+  for (const [incarnation = '', count = ''] of decodeRows(text)) {
     const value = Number.parseInt(count, 10);
     if (Number.isNaN(value)) {
-      context.addIssue(`expected rows of a target’s start and a count, not ${start}: ${count}`);
+      context.addIssue(
+        `expected rows of target incarnation and count, got ${incarnation}: ${count}`,
+      );
       return z.NEVER;
     }
-    inFlight[start] = value;
+    inFlight[incarnation] = value;
   }
   return inFlight;
 });
--- a/packages/entry/src/peers/load-source.ts
+++ b/packages/entry/src/peers/load-source.ts
@@ -1,4 +1,4 @@
-/** How sources of loads are named: a host, a failure domain, or the whole fleet. */
+/** Keys of the sources of load reports: a host, a failure domain, or the whole fleet. */
 export const loadSource = {
   host: (name: string): string => `host ${name}`,
   domain: (failureDomain: string): string => `domain ${failureDomain}`,
--- a/packages/entry/src/peers/message-writer.ts
+++ b/packages/entry/src/peers/message-writer.ts
@@ -26,7 +26,7 @@
 import type { RegionSummary } from './fleet-summary.js';
 import { encodeRegionSummaries, encodeIncarnationKeys, incarnationKey } from './fleet-summary.js';
 
-/** Changes that a digest carries at most: some 200 bytes each, and a datagram is to stay small. */
+/** Maximum number of changes in a digest, to bound the size of datagrams. */
 const MAX_DIGEST_CHANGES = 12;
 
 export interface MessageWriterOptions {
@@ -40,15 +40,15 @@
   readonly answers: StoreConfirmations;
   readonly own: EntryHostRecord;
   readonly isLeaving: () => boolean;
-  /** Part of this host's time in which it has work, from 0 to 1. */
+  /** Fraction of time that this host is busy, from 0 to 1. */
   readonly utilization: () => number;
-  /** What this host's callers ask for. */
+  /** Demand of this host's callers. */
   readonly asked: () => RequestRates;
-  /** When the store last answered this host itself, in monotonic milliseconds. */
+  /** Time of the store's last response to this host itself, in monotonic milliseconds. */
   readonly storeAnsweredAt: () => number;
 }
 
-/** Writes what this host tells others: its report, and a relay's digests. */
+/** Builds this host's messages to peers: its reports and, on a relay, digests. */
 export class MessageWriter {
   readonly #options: MessageWriterOptions;
   #sequence = 0;
@@ -60,12 +60,12 @@
     this.#options = options;
   }
 
-  /** Whether this host had requests at targets when the report began. */
+  /** True if this host had requests in flight when the round began. */
   get hasRequests(): boolean {
     return Object.keys(this.#inFlight).length > 0;
   }
 
-  /** Begins a new report: what is written from now on tells of the present. */
+  /** Begins a new round: takes a snapshot of this host's state for its messages. */
   beginRound(): void {
     this.#sequence++;
     this.#inFlight = this.#options.loads.recordReport(this.#sequence);
@@ -85,15 +85,15 @@
   }
 
   /**
-   * A relay's digest of its own failure domain, for the others' relays.
+   * Builds the digest of this failure domain for relays of other domains.
    *
-   * @param knownToAll - a change that all who get it know
+   * @param lowestPosition - a position that all recipients have reached
    */
-  domainDigest(knownToAll: StorePosition): string {
+  domainDigest(lowestPosition: StorePosition): string {
     const { loads, accounts, own } = this.#options;
     const inFlight = loads.sum(loadSource.isHost, this.#inFlight);
     const usage = accounts.usage.sum(loadSource.isHost, this.#usage);
-    return this.#digest(DOMAIN_DIGEST_METHOD, knownToAll, {
+    return this.#digest(DOMAIN_DIGEST_METHOD, lowestPosition, {
       failureDomain: own.failureDomain,
       statuses: encodeStatuses(this.#ownDomainStatuses()),
       ...this.#commonFields(inFlight, usage),
@@ -103,21 +103,21 @@
   }
 
   /**
-   * A relay's digest of the whole fleet, for its own failure domain.
+   * Builds the digest of the whole fleet for members of this failure domain.
    *
-   * @param knownToAll - a change that all who get it know
-   * @param tellsLoads - whether those who get it have requests, which they send by targets' loads
+   * @param lowestPosition - a position that all recipients have reached
+   * @param includesLoads - whether to include loads, which only members with requests need
    */
-  fleetDigest(knownToAll: StorePosition, tellsLoads: boolean): string {
+  fleetDigest(lowestPosition: StorePosition, includesLoads: boolean): string {
     const { loads, accounts } = this.#options;
     const usage = accounts.usage.sum(loadSource.isPartial, this.#usage);
-    const inFlight = tellsLoads
+    const inFlight = includesLoads
       ? loads.withoutIdle(loads.sum(loadSource.isPartial, this.#inFlight))
       : {};
-    const counted = this.#counted(tellsLoads);
-    return this.#digest(FLEET_DIGEST_METHOD, knownToAll, {
-      absent: encodeIncarnationKeys(this.#absent()),
-      regions: encodeRegionSummaries(this.#regions()),
+    const counted = this.#includedReports(includesLoads);
+    return this.#digest(FLEET_DIGEST_METHOD, lowestPosition, {
+      absent: encodeIncarnationKeys(this.#absentHosts()),
+      regions: encodeRegionSummaries(this.#regionSummaries()),
       counted: encodeRows(counted),
       ...this.#commonFields(inFlight, usage),
       ...this.#limits(this.#options.limits.buildReport(loadSource.isPartial)),
@@ -125,8 +125,8 @@
     });
   }
 
-  #digest(method: string, knownToAll: StorePosition, content: Record<string, unknown>): string {
-    const news = this.#changesAfter(knownToAll);
+  #digest(method: string, lowestPosition: StorePosition, content: Record<string, unknown>): string {
+    const news = this.#changesAfter(lowestPosition);
     const params = {
       from: this.#options.own.name,
       ...content,
@@ -135,8 +135,8 @@
     return JSON.stringify(createJSONRPCNotification(method, params));
   }
 
-  /** Registered hosts that take no callers, as this relay hears them. */
-  #absent(): string[] {
+  /** Registered hosts that are not reported to serve. */
+  #absentHosts(): string[] {
     const { view, peers, own, isLeaving } = this.#options;
     const isServing = (host: EntryHostRecord): boolean =>
       host.name === own.name ? !isLeaving() : peers.isDirectlyServing(host);
@@ -145,8 +145,8 @@
       .flatMap(({ host }) => (isServing(host) ? [] : [incarnationKey(host)]));
   }
 
-  /** What hosts of each region are busy with and what their callers ask for. */
-  #regions(): Map<string, RegionSummary> {
+  /** Busy cores and demand of each region. */
+  #regionSummaries(): Map<string, RegionSummary> {
     const { view, peers, own } = this.#options;
     const regions = new Map<string, { busyCores: number; asked: Record<string, number> }>();
     for (const { host } of view.records('entryHost')) {
@@ -162,21 +162,21 @@
   }
 
   /**
-   * The last reports of those hosts of the own domain that have requests of their own, or use targets' limits: what is told
-   * of the whole is to be taken without their own part.
+   * Latest reports that the totals include, for hosts of this domain with requests or usage of target
+   * limits; these subtract their own part.
    */
-  #counted(tellsLoads: boolean): [string, number][] {
+  #includedReports(includesLoads: boolean): [string, number][] {
     const { loads, limits } = this.#options;
     const hasLoads = ({ name }: HostStatus): boolean =>
-      tellsLoads && loads.get(loadSource.host(name)) !== undefined;
+      includesLoads && loads.get(loadSource.host(name)) !== undefined;
     return this.#ownDomainStatuses()
       .filter((status) => hasLoads(status) || limits.hasReport(status))
       .map(({ name, sequence }) => [name, sequence]);
   }
 
-  /** Nothing where no target names a limit. */
-  #limits(told: ReportedLimits): Record<string, unknown> {
-    const limits = encodeLimits(told);
+  /** Empty where no target advertises a limit. */
+  #limits(reported: ReportedLimits): Record<string, unknown> {
+    const limits = encodeLimits(reported);
     return limits === '' ? {} : { limits };
   }
 
@@ -196,42 +196,42 @@
     };
   }
 
-  /** Nothing at rest. A relay passes on what it heard, any other host tells what it saw itself. */
+  /** A relay passes on all suspects, any other host reports only those that it saw itself. */
   #suspects(which: 'own' | 'all'): Record<string, unknown> {
     const suspects = encodeSuspects(this.#options.suspects.table.report(which));
     return suspects === '' ? {} : { suspects };
   }
 
   #ownStatus(): HostStatus {
-    const { own, isLeaving, utilization: busyShare, asked } = this.#options;
+    const { own, isLeaving, utilization, asked } = this.#options;
     const { name, incarnation } = own;
     return {
       name,
       incarnation,
       sequence: this.#sequence,
       leaving: isLeaving(),
-      utilization: busyShare(),
+      utilization: utilization(),
       asked: asked(),
     };
   }
 
-  /** Other failure domains hear of a host from the relays of its own. */
+  /** Statuses of this host and of live hosts of its domain; other domains have relays of their own. */
   #ownDomainStatuses(): HostStatus[] {
     const { peers, view, own } = this.#options;
     const hosts = view.records('entryHost').map(({ host }) => host);
     const domains = new Map(hosts.map(({ name, failureDomain }) => [name, failureDomain]));
-    const fellows = peers.alive.filter(({ name }) => domains.get(name) === own.failureDomain);
-    return [this.#ownStatus(), ...fellows];
+    const members = peers.alive.filter(({ name }) => domains.get(name) === own.failureDomain);
+    return [this.#ownStatus(), ...members];
   }
 
   #changesAfter(position: StorePosition): FleetDelta | undefined {
     const { view } = this.#options;
     const delta = isAfter(view.lastChange, position) ? view.deltaSince(position) : undefined;
-    const rows = (delta?.changes.length ?? 0) + (delta?.kept?.length ?? 0);
-    return rows <= MAX_DIGEST_CHANGES ? delta : undefined;
+    const count = (delta?.changes.length ?? 0) + (delta?.kept?.length ?? 0);
+    return count <= MAX_DIGEST_CHANGES ? delta : undefined;
   }
 
-  /** A new answer of the store to this host itself goes out under the number of this report. */
+  /** Records a new response of the store to this host under the sequence number of this round. */
   #recordStoreAnswer(): void {
     const { clock, view, answers, own, storeAnsweredAt } = this.#options;
     const answeredAt = storeAnsweredAt();
--- a/packages/entry/src/peers/peer-client.ts
+++ b/packages/entry/src/peers/peer-client.ts
@@ -10,9 +10,9 @@
 import type { DeltaResult } from './peer-messages.js';
 import { DELTA_METHOD, deltaResultSchema } from './peer-messages.js';
 
-/** Path of the calls between entry hosts. */
+/** HTTP path of RPC calls between entry hosts. */
 export const PEER_PATH = '/peer';
-/** Time after which a call counts as lost: several times the way between two regions and back. */
+/** Connect and request timeout; several round trips between regions. */
 const TIMEOUT_MILLISECONDS = 600;
 const IDLE_MILLISECONDS = 5_000;
 
@@ -22,7 +22,7 @@
   error: z.object({ code: z.number(), message: z.string() }).optional(),
 });
 
-/** Calls other entry hosts by JSON-RPC 2.0 over HTTP. */
+/** Client for JSON-RPC 2.0 over HTTP between entry hosts. */
 export class PeerClient implements PeerCalls {
   readonly #agent = new Agent({
     keepAliveTimeout: IDLE_MILLISECONDS,
@@ -32,10 +32,12 @@
 
   async delta(address: string, after: StorePosition): Promise<Result<DeltaResult, string>> {
     const params = { afterRevision: after.revision, afterEpoch: epochOf(after) };
-    const answer = await this.#call(address, DELTA_METHOD, params);
-    return answer.andThen((result) => {
-      const parsed = deltaResultSchema.safeParse(result);
-      return parsed.success ? Ok(parsed.data) : Err(`unexpected answer: ${parsed.error.message}`);
+    const result = await this.#call(address, DELTA_METHOD, params);
+    return result.andThen((value) => {
+      const parsed = deltaResultSchema.safeParse(value);
+      return parsed.success
+        ? Ok(parsed.data)
+        : Err(`invalid delta result: ${parsed.error.message}`);
     });
   }
 
@@ -56,7 +58,7 @@
       });
       const parsed = responseSchema.parse(JSON.parse(await response.body.text()));
       if (parsed.id !== id) {
-        return Err('an answer that belongs to no call');
+        return Err('response id does not match the request id');
       }
       return parsed.error === undefined ? Ok(parsed.result) : Err(parsed.error.message);
     } catch (error) {
--- a/packages/entry/src/peers/peer-exchange.ts
+++ b/packages/entry/src/peers/peer-exchange.ts
@@ -24,23 +24,20 @@
 import { StoreConfirmations } from './store-confirmations.js';
 import type { ViewExchange } from './view-exchange.js';
 
-/** Time between two rounds of messages of a relay, and of a host that has requests at targets. */
+/** Interval between message rounds of relays and of hosts with requests in flight. */
 const ROUND_MILLISECONDS = 200;
-/** The same of a host that has none: it tells that it lives. */
+/** Interval between message rounds of idle hosts, which only report that they are alive. */
 const IDLE_ROUND_MILLISECONDS = 400;
-/** Rounds between two digests of a relay to members that have requests. */
+/** Rounds per fleet digest to members with requests. */
 const ROUNDS_PER_DIGEST = 2;
-/** The same to members that have none: these need to know who lives, and no loads. */
+/** Rounds per fleet digest to idle members, which need membership but no loads. */
 const ROUNDS_PER_IDLE_DIGEST = 4;
-/**
- * The same to relays of other regions: their hosts send few requests here, and each byte on the way
- * between regions is dear.
- */
+/** Rounds per domain digest to relays of other regions, to save traffic between regions. */
 const ROUNDS_PER_CROSS_REGION_DIGEST = 2;
-/** Shortest time between two rounds, however much changes. */
+/** Minimum interval between rounds, including triggered ones. */
 const MIN_ROUND_INTERVAL_MILLISECONDS = 40;
 
-/** What a host knows that has told nothing: nobody is told news for its sake. */
+/** Position of a host that has not reported any; no changes are sent on its account. */
 const UNKNOWN_POSITION: StorePosition = { epoch: Infinity, revision: Infinity };
 
 const messageSchema = z.discriminatedUnion('method', [
@@ -55,7 +52,7 @@
   readonly createTransport: CreateTransport;
 }
 
-/** What is needed once the own addresses are known. */
+/** State that exists once this host's addresses are known. */
 interface Running {
   readonly own: EntryHostRecord;
   readonly plan: RelayPlan;
@@ -63,22 +60,21 @@
 }
 
 /**
- * Tells other entry hosts what this one knows and does, and takes what they tell. Each host reports
- * to the relays of its failure domain by datagram; these tell the other domains' relays of their
- * own domain, and their own domain of the whole fleet. What a digest does not carry of the store's
- * changes is fetched by a call.
+ * Exchanges state with other entry hosts by datagram. Each host reports to the relays of its failure
+ * domain; relays send digests of their domain to other domains' relays, and digests of the whole fleet
+ * to their own domain. Store changes that a digest does not carry are fetched by RPC.
  */
 export class PeerExchange {
   readonly #options: PeerExchangeOptions;
   readonly #transport: DatagramTransport;
   readonly #tasks: BackgroundTasks;
   readonly #confirmations: StoreConfirmations;
-  /** Newest change that each host is known to know, by its name. */
+  /** Newest store position that each host reported, by host name. */
   readonly #peerPositions = new Map<string, StorePosition>();
-  /** What was asked for last of what each host keeps beyond the store, by its name. */
-  readonly #fetchedKept = new Map<string, string>();
+  /** Digest of the retained changes last fetched from each host, by host name. */
+  readonly #fetchedRetained = new Map<string, string>();
   #running: Running | undefined;
-  /** Whether others rely on this host to pass on what it hears, as of the last round. */
+  /** True if this host was a relay in the last round. */
   #isRelay = false;
   #round = 0;
   #lastRoundAt = -Infinity;
@@ -92,7 +88,7 @@
       this.handleDatagram(text);
     });
     options.view.onChanges((changes) => {
-      // A host that comes is told with the next round: hundreds come at once, and none is waited for.
+      // New hosts can wait for the next regular round: hundreds may register at once.
       if (this.#isRelay && changes.some(({ record }) => record?.kind !== 'entryHost')) {
         this.triggerRound();
       }
@@ -114,8 +110,8 @@
       while (!signal.aborted) {
         this.#runRound(false);
         const isBusy = this.#isRelay || writer.hasRequests;
-        const pause = isBusy ? ROUND_MILLISECONDS : IDLE_ROUND_MILLISECONDS;
-        await this.#options.clock.sleep(pause, signal);
+        const interval = isBusy ? ROUND_MILLISECONDS : IDLE_ROUND_MILLISECONDS;
+        await this.#options.clock.sleep(interval, signal);
       }
     });
   }
@@ -126,44 +122,44 @@
     this.#running = undefined;
   }
 
-  /** Whether this host is one of those that pass on what others tell, as it would plan it now. */
+  /** True if this host is currently a relay of its failure domain. */
   get isRelay(): boolean {
     return this.#running?.plan.isRelay === true;
   }
 
-  /** Names of the hosts that pass on what others tell. */
+  /** Names of the relays of all failure domains. */
   get relayNames(): string[] {
     return this.#running?.plan.relayNames ?? [];
   }
 
-  /** Tells others now, or as soon after the last round as is allowed. */
+  /** Sends a round now, or as soon as the minimum interval has passed. */
   triggerRound(): void {
     const { clock } = this.#options;
     if (this.#isRoundScheduled) {
       return;
     }
     this.#isRoundScheduled = true;
-    const wait = this.#lastRoundAt + MIN_ROUND_INTERVAL_MILLISECONDS - clock.now();
-    clock.after(Math.max(0, wait), () => {
+    const delay = this.#lastRoundAt + MIN_ROUND_INTERVAL_MILLISECONDS - clock.now();
+    clock.after(Math.max(0, delay), () => {
       this.#isRoundScheduled = false;
       this.#runRound(true);
     });
   }
 
-  /** Tells what others should not wait for; what was heard is passed on by relays alone. */
+  /** Triggers a round for an urgent update; updates received from others are passed on only by relays. */
   propagateUrgent(source: UpdateSource): void {
     if (source === 'own' || this.#isRelay) {
       this.triggerRound();
     }
   }
 
-  /** Takes a message of another host, as it came. */
+  /** Handles a message of another host. */
   handleDatagram(text: string): void {
     const { events } = this.#options;
     try {
       const parsed = messageSchema.safeParse(JSON.parse(text));
       if (!parsed.success) {
-        events.logger.warn('unexpected datagram', { detail: parsed.error.message });
+        events.logger.warn('ignoring malformed datagram', { detail: parsed.error.message });
       } else if (parsed.data.method === REPORT_METHOD) {
         this.#handleReport(parsed.data.params);
       } else if (parsed.data.method === DOMAIN_DIGEST_METHOD) {
@@ -172,7 +168,7 @@
         this.#handleFleetDigest(parsed.data.params);
       }
     } catch (error) {
-      events.logger.warn('unexpected datagram', { detail: describeParseError(error) });
+      events.logger.warn('failed to handle datagram', { detail: describeParseError(error) });
     }
   }
 
@@ -216,57 +212,57 @@
   }
 
   #applyDigestChanges(digest: DomainDigest | FleetDigest): void {
-    const { view, viewExchange: changes } = this.#options;
+    const { view, viewExchange } = this.#options;
     const { from, news } = digest;
     if (news !== undefined && isAfter(news, view.position) && view.apply(news)) {
-      changes.logChanges(from, news);
+      viewExchange.logChanges(from, news);
     }
     this.#handleCommonFields(from, digest);
   }
 
-  /** Takes a host's status; passes on at once that it leaves. Tells whether it was news. */
+  /** Applies a host's status and passes on at once that it is leaving; returns false if stale. */
   #updateStatus(status: HostStatus, from: StatusSource): boolean {
     const { peers } = this.#options;
     const wasLeaving = peers.get(status.name)?.leaving === true;
-    const isNews = peers.update(status, from);
-    if (isNews && status.leaving && !wasLeaving && this.#isRelay) {
+    const isNew = peers.update(status, from);
+    if (isNew && status.leaving && !wasLeaving && this.#isRelay) {
       this.triggerRound();
     }
-    return isNews;
+    return isNew;
   }
 
-  /** Fetches what a peer knows beyond this host; takes what it tells of the store's answers. */
-  #handleCommonFields(name: string, knowledge: CommonFields): void {
-    const { view, viewExchange: changes, suspects } = this.#options;
-    const { lastChange: revision, epoch, storeAnswer, controlAddress } = knowledge;
+  /** Fetches changes that this host lacks and applies the peer's newest store confirmation. */
+  #handleCommonFields(name: string, fields: CommonFields): void {
+    const { view, viewExchange, suspects } = this.#options;
+    const { lastChange: revision, epoch, storeAnswer, controlAddress } = fields;
     const lastChange = positionOf({ epoch, revision });
-    suspects.merge(knowledge.suspects ?? []);
+    suspects.merge(fields.suspects ?? []);
     this.#peerPositions.set(name, lastChange);
-    const answeredAt =
+    const confirmedAt =
       storeAnswer === undefined ? undefined : this.#confirmations.record(storeAnswer);
     if (isAfter(lastChange, view.lastChange)) {
-      changes.fetchIfIdle(controlAddress);
+      viewExchange.fetchIfIdle(controlAddress);
       return;
     }
-    this.#fetchKept(name, knowledge);
-    if (storeAnswer !== undefined && answeredAt !== undefined) {
-      const answered = { epoch: storeAnswer.epoch, revision: storeAnswer.lastChange };
-      view.confirm(answered, answeredAt);
+    this.#fetchRetained(name, fields);
+    if (storeAnswer !== undefined && confirmedAt !== undefined) {
+      const position = { epoch: storeAnswer.epoch, revision: storeAnswer.lastChange };
+      view.confirm(position, confirmedAt);
     }
   }
 
-  /** Fetches what a peer keeps beyond a store that came back from a copy, where that is not the same here. */
-  #fetchKept(name: string, { epoch, kept, controlAddress }: CommonFields): void {
-    const { view, viewExchange: changes } = this.#options;
-    const isOther = kept !== undefined && kept !== view.retainedDigest && epoch === view.epoch;
-    if (isOther && this.#fetchedKept.get(name) !== kept) {
-      if (changes.fetchIfIdle(controlAddress)) {
-        this.#fetchedKept.set(name, kept);
+  /** Fetches changes that a peer retains beyond a restored store, if they differ from this host's. */
+  #fetchRetained(name: string, { epoch, kept, controlAddress }: CommonFields): void {
+    const { view, viewExchange } = this.#options;
+    const isDifferent = kept !== undefined && kept !== view.retainedDigest && epoch === view.epoch;
+    if (isDifferent && this.#fetchedRetained.get(name) !== kept) {
+      if (viewExchange.fetchIfIdle(controlAddress)) {
+        this.#fetchedRetained.set(name, kept);
       }
     }
   }
 
-  /** @param isUrgent - whether all are told, although it is not their round */
+  /** @param isUrgent - whether to send to all recipients regardless of their intervals */
   #runRound(isUrgent: boolean): void {
     if (this.#running === undefined) {
       return;
@@ -275,40 +271,40 @@
     this.#lastRoundAt = this.#options.clock.now();
     writer.beginRound();
     const recipients = plan.recipients(isUrgent);
-    const { reportRecipients: reports, isRelay } = recipients;
+    const { reportRecipients, isRelay } = recipients;
     this.#round++;
-    const isRound = (every: number): boolean => isUrgent || this.#round % every === 0;
-    this.#send(reports, () => writer.report());
+    const isDue = (every: number): boolean => isUrgent || this.#round % every === 0;
+    this.#send(reportRecipients, () => writer.report());
     this.#send(recipients.sameRegionRelays, (known) => writer.domainDigest(known));
-    if (isRound(ROUNDS_PER_CROSS_REGION_DIGEST)) {
+    if (isDue(ROUNDS_PER_CROSS_REGION_DIGEST)) {
       this.#send(recipients.otherRegionRelays, (known) => writer.domainDigest(known));
     }
-    if (isRound(ROUNDS_PER_DIGEST)) {
+    if (isDue(ROUNDS_PER_DIGEST)) {
       this.#send(recipients.activeMembers, (known) => writer.fleetDigest(known, true));
     }
-    if (isRound(ROUNDS_PER_IDLE_DIGEST)) {
+    if (isDue(ROUNDS_PER_IDLE_DIGEST)) {
       this.#send(recipients.idleMembers, (known) => writer.fleetDigest(known, false));
     }
     this.#isRelay = isRelay;
     if (this.#isRelay) {
-      // A relay hears of each host or domain; the whole is for those that do not.
+      // A relay has the reports of all hosts and domains, so that fleet totals would count twice.
       this.#options.loads.drop(loadSource.fleet);
     }
   }
 
   #send(hosts: readonly EntryHostRecord[], write: (lowestPosition: StorePosition) => string): void {
     if (hosts.length > 0) {
-      const text = write(this.#knownToAll(hosts));
+      const text = write(this.#lowestPosition(hosts));
       for (const { reportAddress } of hosts) {
         this.#transport.send(reportAddress, text);
       }
     }
   }
 
-  /** Newest change that all of these hosts know, as far as they have told. */
-  #knownToAll(hosts: readonly EntryHostRecord[]): StorePosition {
+  /** Returns the newest position that all of these hosts have reported. */
+  #lowestPosition(hosts: readonly EntryHostRecord[]): StorePosition {
     return hosts
       .map(({ name }) => this.#peerPositions.get(name) ?? UNKNOWN_POSITION)
-      .reduce((least, known) => (isAfter(least, known) ? known : least), UNKNOWN_POSITION);
+      .reduce((lowest, next) => (isAfter(lowest, next) ? next : lowest), UNKNOWN_POSITION);
   }
 }
--- a/packages/entry/src/peers/peer-loads.ts
+++ b/packages/entry/src/peers/peer-loads.ts
@@ -4,26 +4,26 @@
 import type { InFlightCounts } from './in-flight.js';
 import { PEER_TIMEOUT_MILLISECONDS } from './peer-table.js';
 
-/** Part of its slots from which a target's load decides: below, it takes any key's requests. */
+/** Fraction of its slots in use from which a target's load affects routing. */
 const BUSY_SHARE = 0.4;
-/** Own reports that are kept until a relay has counted them in. */
-const KEPT_REPORTS = 16;
+/** Number of own reports kept, to subtract them from fleet totals that include them. */
+const MAX_KEPT_REPORTS = 16;
 
-/** What one source told last. */
+/** Last report of one source. */
 interface SourceLoads {
   readonly inFlight: InFlightCounts;
   readonly updatedAt: number;
 }
 
 /**
- * Requests of other entry hosts at targets. A source is a host, another failure domain as a whole,
- * or the whole fleet; what it tells replaces what it told before.
+ * Requests of other entry hosts in flight at targets. A source is a host, another failure domain, or
+ * the whole fleet; its latest report replaces the one before.
  */
 export class PeerLoads {
   readonly #clock: Clock;
   readonly #state: RoutingState;
   readonly #sources = new Map<string, SourceLoads>();
-  /** This host's last reports, by their number. */
+  /** This host's last reports, by sequence number. */
   readonly #reported = new Map<number, InFlightCounts>();
 
   constructor(clock: Clock, state: RoutingState) {
@@ -31,7 +31,7 @@
     this.#state = state;
   }
 
-  /** This host's own requests now, to be reported under a number. */
+  /** Returns this host's own requests in flight and keeps them under a report's sequence number. */
   recordReport(sequence: number): InFlightCounts {
     const inFlight: Record<string, number> = {};
     for (const { targets } of this.#state.services) {
@@ -42,32 +42,29 @@
       }
     }
     this.#reported.set(sequence, inFlight);
-    this.#reported.delete(sequence - KEPT_REPORTS);
+    this.#reported.delete(sequence - MAX_KEPT_REPORTS);
     return inFlight;
   }
 
-  /** What all sources of a kind told, together with more. */
-  sum(isCounted: (source: string) => boolean, more: InFlightCounts): InFlightCounts {
+  /** Sums the reports of the selected sources and `more`. */
+  sum(isIncluded: (source: string) => boolean, more: InFlightCounts): InFlightCounts {
     const total: Record<string, number> = { ...more };
     for (const [source, { inFlight }] of this.#sources) {
-      if (isCounted(source)) {
+      if (isIncluded(source)) {
         addCounts(total, inFlight);
       }
     }
     return total;
   }
 
-  /**
-   * Without targets that have little to do: whether these have one request or two changes no choice,
-   * and most have.
-   */
+  /** Omits targets with little load, whose exact counts do not affect routing. */
   withoutIdle(inFlight: InFlightCounts): InFlightCounts {
-    const isBusy = ([start, count]: [string, number]): boolean =>
-      count >= BUSY_SHARE * (this.#target(start)?.record.slots ?? 1);
+    const isBusy = ([incarnation, count]: [string, number]): boolean =>
+      count >= BUSY_SHARE * (this.#target(incarnation)?.record.slots ?? 1);
     return Object.fromEntries(Object.entries(inFlight).filter(isBusy));
   }
 
-  /** What a source told last; undefined where it told of no requests. */
+  /** Returns a source's last report; undefined if it has no requests in flight. */
   get(source: string): InFlightCounts | undefined {
     const inFlight = this.#sources.get(source)?.inFlight ?? {};
     return Object.keys(inFlight).length > 0 ? inFlight : undefined;
@@ -76,16 +73,16 @@
   update(source: string, inFlight: InFlightCounts): void {
     this.#forget(source);
     this.#sources.set(source, { inFlight, updatedAt: this.#clock.now() });
-    for (const [start, count] of Object.entries(inFlight)) {
-      this.#target(start)?.peersInFlight.set(source, count);
+    for (const [incarnation, count] of Object.entries(inFlight)) {
+      this.#target(incarnation)?.peersInFlight.set(source, count);
     }
   }
 
   /**
-   * Takes what is told of the whole fleet, less this host's own part in it. What parts of the fleet
-   * told before, while this host was a relay, is in it.
+   * Applies fleet totals, less this host's own requests. They replace the reports that this host
+   * received while it was a relay.
    *
-   * @param sequence - the report of this host that is counted in
+   * @param sequence - the report of this host that the totals include
    */
   updateFromFleet(source: string, inFlight: InFlightCounts, sequence: number): void {
     const others = subtractCounts(inFlight, this.#reported.get(sequence) ?? {});
@@ -95,11 +92,11 @@
     this.update(source, others);
   }
 
-  /** To be called a few times a second: drops what sources told that fell silent. */
+  /** Drops sources that timed out; called a few times a second. */
   sweep(): void {
     const now = this.#clock.now();
-    for (const [source, { updatedAt: toldAt }] of this.#sources) {
-      if (now - toldAt > PEER_TIMEOUT_MILLISECONDS) {
+    for (const [source, { updatedAt }] of this.#sources) {
+      if (now - updatedAt > PEER_TIMEOUT_MILLISECONDS) {
         this.drop(source);
       }
     }
@@ -111,13 +108,13 @@
   }
 
   #forget(source: string): void {
-    for (const start of Object.keys(this.#sources.get(source)?.inFlight ?? {})) {
-      this.#target(start)?.peersInFlight.delete(source);
+    for (const incarnation of Object.keys(this.#sources.get(source)?.inFlight ?? {})) {
+      this.#target(incarnation)?.peersInFlight.delete(source);
     }
   }
 
-  /** What is told of a former start says nothing of the present one. */
-  #target(start: string) {
-    return this.#state.targetOfStart(start);
+  /** Undefined for a former incarnation, whose counts do not apply to the current one. */
+  #target(incarnation: string) {
+    return this.#state.targetOfStart(incarnation);
   }
 }
--- a/packages/entry/src/peers/peer-messages.ts
+++ b/packages/entry/src/peers/peer-messages.ts
@@ -15,58 +15,58 @@
 export const DOMAIN_DIGEST_METHOD = 'entry.digest';
 /** Name of the notification that carries a {@link FleetDigest} in a datagram. */
 export const FLEET_DIGEST_METHOD = 'entry.fleet';
-/** Name of the call that asks a peer for what it knows of the store. */
+/** Name of the call that fetches store changes from a peer. */
 export const DELTA_METHOD = 'entry.delta';
 
-/** Which life of the store a revision belongs to. */
+/** Store epoch of a revision; incremented when the store is restored from a snapshot. */
 const epochSchema = z.number().int().nonnegative();
 
 export const deltaParamsSchema = z.object({
-  /** Revision of the newest change that the caller knows; 0 asks for everything. */
+  /** Revision of the newest change that the caller has; 0 requests a snapshot. */
   afterRevision: z.number().int(),
-  /** The store's life that it is of; absent, as 0, before the store tells of any return. */
+  /** Epoch of `afterRevision`; absent means 0. */
   afterEpoch: epochSchema.optional(),
 });
 
-/** What leads from the caller's revision to the peer's, or everything where that is unknown. */
+/** Changes from the caller's revision to the peer's, or a snapshot where these are not known. */
 export const deltaResultSchema = z.object({
   isWhole: z.boolean(),
   afterEpoch: epochSchema.optional(),
   afterRevision: z.number().int(),
   epoch: epochSchema.optional(),
   revision: z.number().int(),
-  /** Revision of the newest change that the peer knows, where that may be none of these. */
+  /** Revision of the peer's newest change, where that may not be in `changes`. */
   lastChange: z.number().int().optional(),
   answeredAgeMilliseconds: z.number().optional(),
   changes: z.array(fleetChangeSchema),
-  /** What the peer knows beyond the store's present life; absent where that is nothing. */
+  /** Changes that the peer retains beyond a restored store; absent if none. */
   kept: z.array(fleetChangeSchema).optional(),
 });
 
-/** What every message between hosts tells of the store and of targets. */
+/** Fields of every message between hosts, on the store and on targets. */
 const commonFields = {
-  /** Where the sender can be asked for what it knows: its record may not have come here yet. */
+  /** Address for delta calls to the sender, whose record may not have arrived yet. */
   controlAddress: z.string(),
-  /** Revision of the newest change of the store that the sender knows. */
+  /** Revision of the newest store change that the sender has. */
   lastChange: z.number().int(),
-  /** The store's life that it is of; absent, as 0, before the store tells of any return. */
+  /** Epoch of `lastChange`; absent means 0. */
   epoch: epochSchema.optional(),
-  /** Names what the sender knows beyond a store that came back from a copy; absent where that is nothing. */
+  /** Digest of what the sender retains beyond a restored store; absent if nothing. */
   kept: z.string().optional(),
-  /** The newest answer of the store that the sender knows of; absent where there was none. */
+  /** Newest store confirmation that the sender has received; absent if none. */
   storeAnswer: storeConfirmationSchema.optional(),
   inFlight: inFlightCountsSchema,
-  /** How far back the sender knows what ran, in milliseconds. */
+  /** Length of the request history behind `accounts`, in milliseconds. */
   remembered: z.number().nonnegative().default(0),
-  /** Use of client accounts' limits; absent where there was none. */
+  /** Usage of client accounts' limits; absent if none. */
   accounts: accountUsageSchema.optional(),
-  /** Limits that targets name, and use of them; absent where there are none. */
+  /** Limits that targets advertise, and their usage; absent if none. */
   limits: limitsSchema.optional(),
-  /** Requests that were at targets when these ended; absent where there is nothing to tell. */
+  /** Requests that were in flight at targets when these crashed; absent if none. */
   suspects: suspectsSchema.optional(),
 };
 
-/** Numbers of reports by the host's name, as rows of text. */
+/** Report sequence numbers by host name, as rows. */
 const reportSequencesSchema = z
   .string()
   .transform(
@@ -76,36 +76,36 @@
       ),
   );
 
-/** What an entry host tells the relays of its failure domain several times a second. */
+/** Report of an entry host to the relays of its failure domain, sent several times a second. */
 export const hostReportSchema = z.object({
-  /** The sender's own, one alone. */
+  /** Status of the sender alone. */
   statuses: hostStatusesSchema,
   ...commonFields,
 });
 
-/** What a relay tells hosts that rely on it, besides what it knows. */
+/** Fields of a relay's digests. */
 const digestFields = {
   /** Name of the relay. */
   from: z.string(),
-  /** The last few changes, so that most receivers need not ask for them. */
+  /** The most recent changes, so that most receivers need not fetch them. */
   news: deltaResultSchema.omit({ isWhole: true, answeredAgeMilliseconds: true }).optional(),
   ...commonFields,
 };
 
-/** What a relay tells other failure domains' relays of its own domain. */
+/** Digest of a failure domain, sent by its relays to the relays of other domains. */
 export const domainDigestSchema = z.object({
   failureDomain: z.string(),
-  /** Hosts of the domain that are heard. */
+  /** Statuses of the domain's live hosts. */
   statuses: hostStatusesSchema,
   ...digestFields,
 });
 
-/** What a relay tells the hosts of its own failure domain of the whole fleet. */
+/** Digest of the whole fleet, sent by a relay to the hosts of its own failure domain. */
 export const fleetDigestSchema = z.object({
-  /** Registered hosts that take no callers. */
+  /** Registered hosts that do not serve. */
   absent: incarnationKeysSchema,
   regions: regionSummariesSchema,
-  /** Reports of the domain's hosts that are counted in, by the host's name. */
+  /** Sequence numbers of the reports that the totals include, by host name. */
   counted: reportSequencesSchema,
   ...digestFields,
 });
@@ -115,5 +115,4 @@
 export type HostReport = z.infer<typeof hostReportSchema>;
 export type DomainDigest = z.infer<typeof domainDigestSchema>;
 export type FleetDigest = z.infer<typeof fleetDigestSchema>;
-/** What every message tells besides its own content. */
 export type CommonFields = Pick<HostReport, keyof typeof commonFields>;
--- a/packages/entry/src/peers/peer-table.ts
+++ b/packages/entry/src/peers/peer-table.ts
@@ -5,41 +5,38 @@
 import type { FleetSummary, RegionSummary } from './fleet-summary.js';
 import { isAbsent } from './fleet-summary.js';
 
-/**
- * A host of which no new report was heard for this long is taken to be dead or cut off: several
- * reports, and the time that a relay keeps each.
- */
+/** Time without a new report after which a host counts as dead; covers several lost reports. */
 export const PEER_TIMEOUT_MILLISECONDS = 1_800;
 
-/** What is known about another entry host. */
+/** Last known status of another entry host. */
 export interface Peer extends HostStatus {
-  /** When its newest report was heard of, in monotonic milliseconds. */
-  readonly heardAt: number;
+  /** Time at which its newest report arrived, in monotonic milliseconds. */
+  readonly receivedAt: number;
 }
 
-/** How a status came here: from the host itself, or from one that heard it. */
+/** Sender of a status: the host itself, or another one that passes it on. */
 export type StatusSource = 'itself' | 'another';
 
-/** What a relay told of the whole fleet, and when. */
+/** A relay's summary of the fleet with its time of receipt. */
 interface ReceivedSummary {
   readonly fleet: FleetSummary;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 /**
- * The entry hosts that are heard of: each by itself, as a relay hears them, or as a whole, as relays
- * tell the others. What was heard last of a host is kept after it fell silent, so that the same news
- * on a longer way does not bring it back.
+ * Membership table of the other entry hosts. Relays track hosts individually; other hosts rely on
+ * the fleet summaries of relays. The last status of a host that timed out is kept, so that a delayed
+ * copy of it does not revive the host.
  */
 export class PeerTable {
   readonly #alive = new Map<string, Peer>();
-  /** What was heard last of hosts that fell silent. */
-  readonly #silent = new Map<string, Peer>();
+  /** Last statuses of hosts that timed out. */
+  readonly #timedOut = new Map<string, Peer>();
 
-  /** What relays told of the whole fleet, by relay. */
+  /** Latest fleet summaries, by relay. */
   readonly #summaries = new Map<string, ReceivedSummary>();
 
-  /** @param registeredIncarnation - the start of a host that the store holds, by the host's name */
+  /** @param registeredIncarnation - looks up the incarnation in the store by host name */
   constructor(
     readonly clock: Clock,
     readonly events: EventLog,
@@ -50,88 +47,87 @@
     return [...this.#alive.values()];
   }
 
-  /** A host that is heard of; undefined where it is not, or no longer. */
   get(name: string): Peer | undefined {
     return this.#alive.get(name);
   }
 
-  /** Whether this start of a registered host runs, as far as is known here. */
+  /** Returns whether a registered host is alive, as far as this host knows. */
   isAlive(host: EntryHostRecord): boolean {
     return this.#alive.has(host.name) || this.#isInSummary(host);
   }
 
-  /** Whether this start of a registered host takes callers, as far as is known here. */
+  /** Returns whether this incarnation of a host accepts callers, as far as this host knows. */
   isServing(host: EntryHostRecord): boolean {
     return this.#alive.has(host.name) ? this.isDirectlyServing(host) : this.#isInSummary(host);
   }
 
   /**
-   * Whether this start of a registered host was heard to take callers, without what relays tell of the
-   * whole: what a relay itself passes on, or two of them would keep a dead host alive for each other.
+   * Returns whether this incarnation of a host is reported to accept callers, ignoring fleet
+   * summaries. Relays pass on only this: otherwise two relays would keep a dead host alive.
    */
   isDirectlyServing(host: EntryHostRecord): boolean {
     const peer = this.#alive.get(host.name);
     return peer?.incarnation === host.incarnation && !peer.leaving;
   }
 
-  /** What relays tell of a region lately; undefined where none does, as at a relay. */
+  /** Returns a relay's current summary of a region; undefined if there is none, as on relays. */
   regionSummary(region: string): RegionSummary | undefined {
     for (const { fleet } of this.#summaries.values()) {
-      const told = fleet.regions.get(region);
-      if (told !== undefined) {
-        return told;
+      const summary = fleet.regions.get(region);
+      if (summary !== undefined) {
+        return summary;
       }
     }
     return undefined;
   }
 
-  /** What callers of each region ask for, as relays tell lately; undefined where none does. */
+  /** Demand by region as relays report it; undefined if there is no summary. */
   get regionDemand(): ReadonlyMap<string, RequestRates> | undefined {
-    const [told] = this.#summaries.values();
-    return told === undefined
+    const [summary] = this.#summaries.values();
+    return summary === undefined
       ? undefined
-      : new Map([...told.fleet.regions].map(([region, { asked }]) => [region, asked]));
+      : new Map([...summary.fleet.regions].map(([region, { asked }]) => [region, asked]));
   }
 
-  /** Takes what a relay tells of the whole fleet. */
+  /** Replaces a relay's summary of the fleet. */
   updateFromFleet(relay: string, fleet: FleetSummary): void {
-    this.#summaries.set(relay, { fleet, at: this.clock.now() });
+    this.#summaries.set(relay, { fleet, receivedAt: this.clock.now() });
   }
 
-  /** Takes what was heard of a host; tells whether it was news. */
+  /** Applies a status; returns false if it is stale. */
   update(status: HostStatus, from: StatusSource): boolean {
     const { name } = status;
-    const before = this.#alive.get(name) ?? this.#silent.get(name);
-    if (before !== undefined && !this.#isNewer(status, before, from)) {
+    const previous = this.#alive.get(name) ?? this.#timedOut.get(name);
+    if (previous !== undefined && !this.#isNewer(status, previous, from)) {
       return false;
     }
-    const peer = { ...status, heardAt: this.clock.now() };
+    const peer = { ...status, receivedAt: this.clock.now() };
     this.#alive.set(name, peer);
-    const wasSilent = this.#silent.delete(name);
-    if (before?.incarnation !== status.incarnation || wasSilent) {
+    const wasTimedOut = this.#timedOut.delete(name);
+    if (previous?.incarnation !== status.incarnation || wasTimedOut) {
       this.#logTransition(peer, true);
     }
     return true;
   }
 
-  /** To be called a few times a second: notices hosts that fell silent, and what is told no more. */
+  /** Expires hosts and summaries that timed out; called a few times a second. */
   sweep(): void {
     const now = this.clock.now();
-    for (const [relay, { at }] of this.#summaries) {
-      if (now - at > PEER_TIMEOUT_MILLISECONDS) {
+    for (const [relay, { receivedAt }] of this.#summaries) {
+      if (now - receivedAt > PEER_TIMEOUT_MILLISECONDS) {
         this.#summaries.delete(relay);
       }
     }
     for (const peer of this.#alive.values()) {
-      if (now - peer.heardAt > PEER_TIMEOUT_MILLISECONDS) {
+      if (now - peer.receivedAt > PEER_TIMEOUT_MILLISECONDS) {
         this.#alive.delete(peer.name);
-        this.#silent.set(peer.name, peer);
+        this.#timedOut.set(peer.name, peer);
         this.#logTransition(peer, false);
       }
     }
   }
 
-  /** Whether some relay that is heard does not miss it. */
+  /** Returns whether some fleet summary does not list the host as absent. */
   #isInSummary(host: EntryHostRecord): boolean {
     for (const { fleet } of this.#summaries.values()) {
       if (!isAbsent(fleet, host)) {
@@ -141,21 +137,21 @@
     return false;
   }
 
-  /** What others tell of another start may be long over; the store knows which one is the last. */
-  #isNewer(status: HostStatus, before: Peer, from: StatusSource): boolean {
-    if (status.incarnation === before.incarnation) {
-      return status.sequence > before.sequence;
+  /** A status of another incarnation that is passed on may be stale; the store has the latest. */
+  #isNewer(status: HostStatus, previous: Peer, from: StatusSource): boolean {
+    if (status.incarnation === previous.incarnation) {
+      return status.sequence > previous.sequence;
     }
     return from === 'itself' || status.incarnation === this.registeredIncarnation(status.name);
   }
 
-  #logTransition({ name, incarnation, heardAt }: Peer, alive: boolean): void {
+  #logTransition({ name, incarnation, receivedAt }: Peer, alive: boolean): void {
     this.events.write({
       event: 'peer',
       peer: name,
       incarnation,
       alive,
-      silentMilliseconds: Math.round(this.clock.now() - heardAt),
+      silentMilliseconds: Math.round(this.clock.now() - receivedAt),
     });
   }
 }
--- a/packages/entry/src/peers/peer-usage.ts
+++ b/packages/entry/src/peers/peer-usage.ts
@@ -7,43 +7,43 @@
 import { PEER_TIMEOUT_MILLISECONDS } from './peer-table.js';
 import { incarnationKey } from './fleet-summary.js';
 
-/** Own reports that are kept until a relay has counted them in. */
-const KEPT_REPORTS = 16;
+/** Number of own reports kept, to subtract them from fleet totals that include them. */
+const MAX_KEPT_REPORTS = 16;
 
-/** A sum over sources holds for this long: far less than the time that news takes. */
+/** Lifetime of cached sums over sources; far shorter than the delay of reports. */
 const SUM_CACHE_MILLISECONDS = 50;
 
 const NO_USAGE: UsageByName = { used: {}, demand: {} };
 
-/** What a source asked for last. */
+/** Last reported demand of a source. */
 interface SourceDemand {
-  readonly asked: UsageByName['demand'];
+  readonly demand: UsageByName['demand'];
   readonly updatedAt: number;
 }
 
-/** Names one start of a host. */
+/** Identifies one incarnation of a host. */
 export type HostIncarnation = Pick<EntryHostRecord, 'name' | 'incarnation'>;
 
 export interface PeerUsageOptions {
   readonly clock: Clock;
   readonly windowMilliseconds: number;
-  /** This host's own use now. */
+  /** Current usage of this host itself. */
   readonly own: () => UsageByName;
 }
 
 /**
- * Use of limits that all entry hosts share, by the other ones: of accounts' limits, or of those that targets name. It travels
- * with what hosts tell of targets' loads, and like there a source is a host, another failure domain, or the whole fleet.
+ * Usage by other entry hosts of limits that the whole fleet shares: limits of accounts, or limits that
+ * targets advertise. A source is a host, another failure domain, or the whole fleet.
  */
 export class PeerUsage {
   readonly #options: PeerUsageOptions;
   readonly #used: ReportedCounts;
-  readonly #asked = new Map<string, SourceDemand>();
-  /** The last start of each host that told of itself. */
+  readonly #demand = new Map<string, SourceDemand>();
+  /** Source key of the last known incarnation, by host name. */
   readonly #sourceOfHost = new Map<string, string>();
-  /** Sums that were made a moment ago. */
+  /** Cached sums by account or target. */
   readonly #others = new Map<string, UsageElsewhere & { readonly at: number }>();
-  /** This host's last reports, by their number. */
+  /** This host's last reports, by sequence number. */
   readonly #reported = new Map<number, UsageByName>();
 
   constructor(options: PeerUsageOptions) {
@@ -51,49 +51,49 @@
     this.#used = new ReportedCounts(options.clock, options.windowMilliseconds);
   }
 
-  /** This host's own use now, to be reported under a number. */
+  /** Returns this host's current usage and keeps it under a report's sequence number. */
   recordReport(sequence: number): UsageByName {
     const usage = this.#options.own();
     this.#reported.set(sequence, usage);
-    this.#reported.delete(sequence - KEPT_REPORTS);
+    this.#reported.delete(sequence - MAX_KEPT_REPORTS);
     return usage;
   }
 
-  /** How a host's present process is named as a source. What its former one used counts for a window more. */
-  sourceOf(start: HostIncarnation): string {
-    const source = loadSource.host(incarnationKey(start));
-    const before = this.#sourceOfHost.get(start.name);
-    if (before !== undefined && before !== source) {
-      this.#end(before);
+  /** Returns the source key of a host; usage of its former incarnation counts for one more window. */
+  sourceOf(host: HostIncarnation): string {
+    const source = loadSource.host(incarnationKey(host));
+    const previous = this.#sourceOfHost.get(host.name);
+    if (previous !== undefined && previous !== source) {
+      this.#end(previous);
     }
-    this.#sourceOfHost.set(start.name, source);
+    this.#sourceOfHost.set(host.name, source);
     return source;
   }
 
-  /** Whether a source told of any use. */
+  /** Returns whether a source last reported any demand. */
   hasDemand(source: string): boolean {
-    return Object.keys(this.#asked.get(source)?.asked ?? {}).length > 0;
+    return Object.keys(this.#demand.get(source)?.demand ?? {}).length > 0;
   }
 
   update(source: string, usage: UsageByName = NO_USAGE): void {
     this.#used.record(source, usage.used);
-    this.#asked.set(source, { asked: usage.demand, updatedAt: this.#options.clock.now() });
+    this.#demand.set(source, { demand: usage.demand, updatedAt: this.#options.clock.now() });
   }
 
-  /** Requests of an account's window that a source told last. */
+  /** Returns an account's requests in the window as a source last reported them. */
   usedOf(source: string, account: string): number {
     return this.#used.lastReported(source, account);
   }
 
   #end(source: string): void {
     this.#used.markEnded(source);
-    this.#asked.delete(source);
+    this.#demand.delete(source);
   }
 
   /**
-   * Takes what is told of the whole fleet, less this host's own part in it.
+   * Applies fleet totals, less this host's own usage.
    *
-   * @param sequence - the report of this host that is counted in
+   * @param sequence - the report of this host that the totals include
    */
   updateFromFleet(usage: UsageByName = NO_USAGE, sequence: number): void {
     const own = this.#reported.get(sequence) ?? NO_USAGE;
@@ -103,28 +103,28 @@
     });
   }
 
-  /** What all sources of a kind told, together with more. */
-  sum(isCounted: (source: string) => boolean, more: UsageByName): UsageByName {
-    const used = this.#used.sum(isCounted);
+  /** Sums the reports of the selected sources and `more`. */
+  sum(isIncluded: (source: string) => boolean, more: UsageByName): UsageByName {
+    const used = this.#used.sum(isIncluded);
     addCounts(used, more.used);
-    const asked: Record<string, number> = { ...more.demand };
-    for (const [source, told] of this.#asked) {
-      if (isCounted(source)) {
-        addCounts(asked, told.asked);
+    const demand: Record<string, number> = { ...more.demand };
+    for (const [source, reported] of this.#demand) {
+      if (isIncluded(source)) {
+        addCounts(demand, reported.demand);
       }
     }
-    return { used, demand: asked };
+    return { used, demand };
   }
 
   /**
-   * All other hosts together, as of a moment ago. Of a host that has just become a relay, or is one no longer,
-   * the parts or the whole are old: the larger of the two counts.
+   * Returns the usage of all other hosts, briefly cached. When this host becomes a relay or ceases
+   * to be one, either the partial sums or the fleet total are stale; the larger one counts.
    */
   others(account: string): UsageElsewhere {
     const now = this.#options.clock.now();
-    const known = this.#others.get(account);
-    if (known !== undefined && now - known.at < SUM_CACHE_MILLISECONDS) {
-      return known;
+    const cached = this.#others.get(account);
+    if (cached !== undefined && now - cached.at < SUM_CACHE_MILLISECONDS) {
+      return cached;
     }
     const summed = { ...this.#sumOthers(account), at: now };
     this.#others.set(account, summed);
@@ -142,19 +142,19 @@
     };
   }
 
-  /** To be called a few times a second. */
+  /** Drops sources that timed out; called a few times a second. */
   sweep(): void {
     this.#used.sweep();
     this.#evictSums();
     const oldest = this.#options.clock.now() - PEER_TIMEOUT_MILLISECONDS;
-    for (const [source, { updatedAt: toldAt }] of this.#asked) {
-      if (toldAt < oldest) {
-        this.#asked.delete(source);
+    for (const [source, { updatedAt }] of this.#demand) {
+      if (updatedAt < oldest) {
+        this.#demand.delete(source);
       }
     }
   }
 
-  /** Names come and go with starts of targets. */
+  /** Evicts sums of names that are no longer in use, such as former target incarnations. */
   #evictSums(): void {
     const oldest = this.#options.clock.now() - this.#options.windowMilliseconds;
     for (const [name, { at }] of this.#others) {
@@ -164,10 +164,10 @@
     }
   }
 
-  #demandOf(account: string, isCounted: (source: string) => boolean): number {
+  #demandOf(account: string, isIncluded: (source: string) => boolean): number {
     let total = 0;
-    for (const [source, { asked }] of this.#asked) {
-      total += isCounted(source) ? (asked[account] ?? 0) : 0;
+    for (const [source, { demand }] of this.#demand) {
+      total += isIncluded(source) ? (demand[account] ?? 0) : 0;
     }
     return total;
   }
--- a/packages/entry/src/peers/relay-plan.ts
+++ b/packages/entry/src/peers/relay-plan.ts
@@ -5,7 +5,7 @@
 import type { PeerTable } from './peer-table.js';
 import { PEER_TIMEOUT_MILLISECONDS } from './peer-table.js';
 
-/** Hosts of a failure domain that pass on what the others tell, so that one of them may fail. */
+/** Number of relays per failure domain; more than one, so that a relay may fail. */
 export const RELAYS_PER_DOMAIN = 2;
 
 export interface RelayPlanOptions {
@@ -15,25 +15,21 @@
   readonly own: EntryHostRecord;
 }
 
-/** To whom this host sends what, at one moment. */
+/** Recipients of this host's messages in one round. */
 export interface Recipients {
-  /** Whether others rely on this host to pass on what it hears. */
+  /** True if this host is a relay; otherwise it only sends reports. */
   readonly isRelay: boolean;
-  /** Hosts that take its report. */
   readonly reportRecipients: readonly EntryHostRecord[];
-  /**
-   * Hosts of the own failure domain that it tells of the fleet: those whose callers ask for
-   * something, and the others. None unless it is a relay.
-   */
+  /** Hosts of its failure domain with demand, which receive fleet digests. */
   readonly activeMembers: readonly EntryHostRecord[];
+  /** Hosts of its failure domain without demand, which receive fleet digests less often. */
   readonly idleMembers: readonly EntryHostRecord[];
-  /** Relays of other failure domains of its region that it tells of its own; none unless a relay. */
+  /** Relays of other failure domains in its region, which receive domain digests. */
   readonly sameRegionRelays: readonly EntryHostRecord[];
-  /** The same of other regions. */
+  /** Relays of failure domains in other regions. */
   readonly otherRegionRelays: readonly EntryHostRecord[];
 }
 
-/** What a host that is no relay tells beside its reports. */
 const NON_RELAY_RECIPIENTS = {
   isRelay: false,
   activeMembers: [],
@@ -43,36 +39,34 @@
 } as const;
 
 /**
- * Who passes reports on. The relays of a failure domain are found without an election: its hosts
- * rank themselves by what they can carry, and those that are heard and stand first are the relays.
- * Hosts that disagree for a moment send a few messages too many, and lose nothing.
+ * Selects relays and recipients of messages. Without an election, the first live hosts of a failure
+ * domain, ranked by capacity, are its relays. Hosts that briefly disagree only send extra messages.
  */
 export class RelayPlan {
   readonly #options: RelayPlanOptions;
-  /** When each start of a host was first seen in the store. */
+  /** Time at which each host incarnation was first seen in the store. */
   readonly #firstSeenAt = new Map<string, number>();
-  /** Registered hosts by failure domain, those first that are to be relays; made when needed. */
-  #rankByCapacity: ReadonlyMap<string, readonly EntryHostRecord[]> | undefined;
+  /** Registered hosts by failure domain, preferred relays first; computed lazily. */
+  #rankedDomains: ReadonlyMap<string, readonly EntryHostRecord[]> | undefined;
   #turn = 0;
 
   constructor(options: RelayPlanOptions) {
     this.#options = options;
     options.view.onChanges((changes) => {
       if (changes.some(({ record }) => record === undefined || record.kind === 'entryHost')) {
-        this.#rankByCapacity = undefined;
+        this.#rankedDomains = undefined;
       }
     });
   }
 
-  /** Names of the relays of all failure domains; few even in a large fleet. */
+  /** Names of the relays of all failure domains. */
   get relayNames(): string[] {
     return [...this.#domains.values()].flatMap((hosts) => this.#relays(hosts)).map(nameOf);
   }
 
   /**
-   * @param isUrgent - whether relays of other domains are all told at once; else the relays of this
-   *   domain take turns, so that each foreign one hears of the domain once a round. That halves what
-   *   goes between regions, and a relay that one way does not reach is reached in the next round.
+   * @param isUrgent - whether to include all relays of other domains; otherwise the relays of this
+   *   domain share them out and swap each round, which saves traffic and tolerates broken paths
    */
   recipients(isUrgent: boolean): Recipients {
     const { own, peers } = this.#options;
@@ -80,34 +74,34 @@
     const others = domain.filter(({ name }) => name !== own.name);
     const relays = this.#relays(domain).map(nameOf);
     const isRelay = (host: EntryHostRecord): boolean => relays.includes(host.name);
-    const isHeard = (host: EntryHostRecord): boolean => peers.isAlive(host);
-    const reports = others.some(isHeard) ? others.filter(isRelay) : others;
+    const isAlive = (host: EntryHostRecord): boolean => peers.isAlive(host);
+    const reportRecipients = others.some(isAlive) ? others.filter(isRelay) : others;
     if (!relays.includes(own.name)) {
-      return { ...NON_RELAY_RECIPIENTS, reportRecipients: reports };
+      return { ...NON_RELAY_RECIPIENTS, reportRecipients };
     }
     this.#turn++;
-    const place = relays.indexOf(own.name) + this.#turn;
+    const offset = relays.indexOf(own.name) + this.#turn;
     const isTurn = (_: unknown, index: number): boolean =>
-      isUrgent || (index + place) % relays.length === 0;
-    // Also those that are not heard: one that knows too little yet reports to other relays than these.
+      isUrgent || (index + offset) % relays.length === 0;
+    // Includes hosts that are not alive here: a new one may still report to other relays.
     const members = others.filter((host) => !isRelay(host));
-    const asks = ({ name }: EntryHostRecord): boolean =>
+    const hasDemand = ({ name }: EntryHostRecord): boolean =>
       Object.keys(peers.get(name)?.asked ?? {}).length > 0;
     const foreignRelays = [...this.#domains]
       .filter(([name]) => name !== own.failureDomain)
       .flatMap(([, hosts]) => this.#scheduledRelays(hosts, isTurn));
-    const isNear = ({ region }: EntryHostRecord): boolean => region === own.region;
+    const isSameRegion = ({ region }: EntryHostRecord): boolean => region === own.region;
     return {
       isRelay: true,
-      reportRecipients: reports,
-      activeMembers: members.filter(asks),
-      idleMembers: members.filter((host) => !asks(host)),
-      sameRegionRelays: foreignRelays.filter(isNear),
-      otherRegionRelays: foreignRelays.filter((host) => !isNear(host)),
+      reportRecipients,
+      activeMembers: members.filter(hasDemand),
+      idleMembers: members.filter((host) => !hasDemand(host)),
+      sameRegionRelays: foreignRelays.filter(isSameRegion),
+      otherRegionRelays: foreignRelays.filter((host) => !isSameRegion(host)),
     };
   }
 
-  /** Those of its relays whose turn it is; where none of its hosts is heard, each of them in turn. */
+  /** Returns the domain's relays whose turn it is; if none of its hosts is alive, one host in turn. */
   #scheduledRelays(
     hosts: readonly EntryHostRecord[],
     isTurn: (host: EntryHostRecord, index: number) => boolean,
@@ -117,7 +111,7 @@
     return relays.length > 0 || next === undefined ? relays.filter(isTurn) : [next];
   }
 
-  /** Whether this host is one of the relays of its failure domain. */
+  /** True if this host is a relay of its failure domain. */
   get isRelay(): boolean {
     const { own } = this.#options;
     return this.#relays(this.#domains.get(own.failureDomain) ?? []).includes(own);
@@ -134,8 +128,8 @@
   }
 
   get #domains(): ReadonlyMap<string, readonly EntryHostRecord[]> {
-    this.#rankByCapacity ??= this.#rank();
-    return this.#rankByCapacity;
+    this.#rankedDomains ??= this.#rank();
+    return this.#rankedDomains;
   }
 
   #rank(): Map<string, readonly EntryHostRecord[]> {
@@ -152,22 +146,22 @@
       hosts.push(host);
       domains.set(host.failureDomain, hosts);
     }
-    return new Map([...domains].map(([domain, hosts]) => [domain, ranked(domain, hosts)]));
+    return new Map([...domains].map(([domain, hosts]) => [domain, rankByCapacity(domain, hosts)]));
   }
 
-  /** Heard of, or registered so lately that it may not have been heard yet. */
+  /** Returns whether a host is alive, or registered too recently to have reported. */
   #isPresumedAlive(host: EntryHostRecord): boolean {
     const { clock, peers, own } = this.#options;
     if (host.name === own.name || peers.isAlive(host)) {
       return true;
     }
-    const seenAt = this.#firstSeenAt.get(host.incarnation) ?? -Infinity;
-    return clock.now() - seenAt < PEER_TIMEOUT_MILLISECONDS;
+    const firstSeenAt = this.#firstSeenAt.get(host.incarnation) ?? -Infinity;
+    return clock.now() - firstSeenAt < PEER_TIMEOUT_MILLISECONDS;
   }
 }
 
-/** A failure domain's hosts, those that can carry most first, equals in an order of their own. */
-function ranked(domain: string, hosts: readonly EntryHostRecord[]): EntryHostRecord[] {
+/** Ranks a failure domain's hosts by capacity, with a stable order per domain among equals. */
+function rankByCapacity(domain: string, hosts: readonly EntryHostRecord[]): EntryHostRecord[] {
   return rendezvousRank(`relay ${domain}`, hosts, nameOf).sort((a, b) => b.capacity - a.capacity);
 }
 
--- a/packages/entry/src/peers/rows.ts
+++ b/packages/entry/src/peers/rows.ts
@@ -1,11 +1,10 @@
-/** Neither stands in names of hosts or targets; JSON writes each in two bytes. */
+/** Separators that do not occur in names of hosts or targets. */
 const FIELD_END = '\t';
 const ROW_END = '\n';
 
 /**
- * Rows of fields as one text. Checking a list of a few hundred small values one by one takes ten
- * times as long as reading them from text (1.1 against 0.1 ms a digest of 89 hosts), and a host reads
- * several digests a second.
+ * Encodes rows of fields as text, which is much cheaper to validate than arrays of objects. Hosts
+ * parse several digests per second.
  */
 export function encodeRows(rows: readonly (readonly (string | number)[])[]): string {
   return rows.map((row) => row.join(FIELD_END)).join(ROW_END);
--- a/packages/entry/src/peers/store-confirmations.ts
+++ b/packages/entry/src/peers/store-confirmations.ts
@@ -1,35 +1,35 @@
 import type { Clock } from '@ferrylock/utils';
 import { z } from 'zod';
 
-/** That the store itself told a host at some time that it held nothing newer than a change. */
+/** Confirmation by the store to a host that it held nothing newer than a revision. */
 export const storeConfirmationSchema = z.object({
-  /** Host and start that were answered. */
+  /** Host and incarnation that received the confirmation. */
   name: z.string(),
   incarnation: z.string(),
-  /** Its report that told so first. */
+  /** Sequence number of the first report that carried it. */
   sequence: z.number().int(),
-  /** Revision of the newest change that it knew then, and the store's life; absent, as 0, before the store tells of any return. */
+  /** Revision of the host's newest change at that time. */
   lastChange: z.number().int(),
+  /** Epoch of `lastChange`; absent means 0. */
   epoch: z.number().int().nonnegative().optional(),
   ageMilliseconds: z.number(),
 });
 
-/** An answer as it travels, with its age at the time of sending. */
 export type StoreConfirmation = z.infer<typeof storeConfirmationSchema>;
 
-/** An answer as it is kept, by this host's own clock. */
+/** A confirmation with its time by this host's clock. */
 interface StoredConfirmation extends Omit<StoreConfirmation, 'ageMilliseconds'> {
   readonly confirmedAt: number;
 }
 
 /**
- * The newest answer of the store that this host heard of, to be passed on. Each answer is taken
- * once, by the number of the report that told it first: otherwise it would grow younger on each way
- * between hosts by the time of the message, and go round for ever.
+ * Keeps the newest store confirmation that this host has received, to pass it on. Each confirmation
+ * is accepted only once, by sequence number: ages exclude transit time, so that one that circulates
+ * between hosts would otherwise never grow old.
  */
 export class StoreConfirmations {
   readonly #clock: Clock;
-  /** Newest report taken of each host. */
+  /** Newest sequence number recorded, by host name. */
   readonly #recorded = new Map<string, { incarnation: string; sequence: number }>();
   #newest: StoredConfirmation | undefined;
 
@@ -37,27 +37,27 @@
     this.#clock = clock;
   }
 
-  /** The newest answer, with its present age; undefined before the first. */
+  /** The newest confirmation with its current age; undefined before the first. */
   get newest(): StoreConfirmation | undefined {
     if (this.#newest === undefined) {
       return undefined;
     }
-    const { confirmedAt: at, ...answer } = this.#newest;
-    return { ...answer, ageMilliseconds: Math.round(this.#clock.now() - at) };
+    const { confirmedAt, ...confirmation } = this.#newest;
+    return { ...confirmation, ageMilliseconds: Math.round(this.#clock.now() - confirmedAt) };
   }
 
-  /** Takes an answer that was heard of; tells when it was given, or undefined where it is not new. */
-  record(answer: StoreConfirmation): number | undefined {
-    const { name, incarnation, sequence, lastChange, epoch, ageMilliseconds } = answer;
-    const taken = this.#recorded.get(name);
-    if (taken?.incarnation === incarnation && taken.sequence >= sequence) {
+  /** Records a confirmation and returns its time, or undefined if it is not new. */
+  record(confirmation: StoreConfirmation): number | undefined {
+    const { name, incarnation, sequence, lastChange, epoch, ageMilliseconds } = confirmation;
+    const recorded = this.#recorded.get(name);
+    if (recorded?.incarnation === incarnation && recorded.sequence >= sequence) {
       return undefined;
     }
     this.#recorded.set(name, { incarnation, sequence });
-    const at = this.#clock.now() - ageMilliseconds;
-    if (at > (this.#newest?.confirmedAt ?? -Infinity)) {
-      this.#newest = { name, incarnation, sequence, lastChange, epoch, confirmedAt: at };
+    const confirmedAt = this.#clock.now() - ageMilliseconds;
+    if (confirmedAt > (this.#newest?.confirmedAt ?? -Infinity)) {
+      this.#newest = { name, incarnation, sequence, lastChange, epoch, confirmedAt };
     }
-    return at;
+    return confirmedAt;
   }
 }
--- a/packages/entry/src/peers/suspect-rows.ts
+++ b/packages/entry/src/peers/suspect-rows.ts
@@ -2,13 +2,12 @@
 import { z } from 'zod';
 import { decodeRows, encodeRows } from './rows.js';
 
-/** Ages are told in tenths of a second: far below the time that they are kept for. */
 const AGE_UNIT_MILLISECONDS = 100;
-const FIELDS_OF_END = 3;
+const FIELDS_PER_CRASH = 3;
 
 /**
- * Requests that were at targets when these ended, as rows of text: fingerprint, then target, age and answers
- * since of each end. An end that makes no sense is passed over.
+ * Suspect requests, in flight at targets when these crashed, as rows: fingerprint, then target, age
+ * and responses since for each crash. Malformed crashes are skipped.
  */
 export const suspectsSchema = z.string().transform((text): SuspectReport[] =>
   decodeRows(text).map(([fingerprint = '', ...fields]) => ({
@@ -17,31 +16,30 @@
   })),
 );
 
-/** The form that {@link suspectsSchema} reads; empty where there are none. */
+/** The form that {@link suspectsSchema} reads; empty without suspects. */
 export function encodeSuspects(suspects: readonly SuspectReport[]): string {
   return encodeRows(
-    suspects.map(({ fingerprint, crashes: ends }) => [fingerprint, ...ends.flatMap(crashFields)]),
+    suspects.map(({ fingerprint, crashes }) => [fingerprint, ...crashes.flatMap(crashFields)]),
   );
 }
 
-function crashFields({
-  target,
-  ageMilliseconds,
-  responses: answers,
-}: SuspectCrash): (string | number)[] {
+function crashFields({ target, ageMilliseconds, responses }: SuspectCrash): (string | number)[] {
   const age = Math.round(ageMilliseconds / AGE_UNIT_MILLISECONDS);
-  return [target, age, answers];
+  return [target, age, responses];
 }
 
 function parseCrashes(fields: readonly string[]): SuspectCrash[] {
-  const ends: SuspectCrash[] = [];
-  for (let index = 0; index + FIELDS_OF_END <= fields.length; index += FIELDS_OF_END) {
-    const [target = '', age = '', answered = ''] = fields.slice(index, index + FIELDS_OF_END);
+  const crashes: SuspectCrash[] = [];
+  for (let index = 0; index + FIELDS_PER_CRASH <= fields.length; index += FIELDS_PER_CRASH) {
+    const [target = '', age = '', responsesText = ''] = fields.slice(
+      index,
+      index + FIELDS_PER_CRASH,
+    );
     const ageMilliseconds = Number.parseInt(age, 10) * AGE_UNIT_MILLISECONDS;
-    const answers = Number.parseInt(answered, 10);
-    if (target !== '' && ageMilliseconds >= 0 && answers >= 0) {
-      ends.push({ target, ageMilliseconds, responses: answers });
+    const responses = Number.parseInt(responsesText, 10);
+    if (target !== '' && ageMilliseconds >= 0 && responses >= 0) {
+      crashes.push({ target, ageMilliseconds, responses });
     }
   }
-  return ends;
+  return crashes;
 }
--- a/packages/entry/src/peers/udp-transport.ts
+++ b/packages/entry/src/peers/udp-transport.ts
@@ -4,7 +4,7 @@
 import { splitAddress } from '../address.js';
 import type { DatagramTransport } from './datagram-transport.js';
 
-/** Sends and takes messages by UDP. */
+/** UDP transport. */
 export class UdpTransport implements DatagramTransport {
   readonly #socket: Socket;
 
@@ -33,7 +33,7 @@
     const { host, port } = splitAddress(address);
     this.#socket.send(text, port, host, (error) => {
       if (error !== null) {
-        this.events.logger.debug('datagram not sent', { address, error: String(error) });
+        this.events.logger.debug('failed to send datagram', { address, error: String(error) });
       }
     });
   }
--- a/packages/entry/src/peers/view-exchange.ts
+++ b/packages/entry/src/peers/view-exchange.ts
@@ -6,10 +6,7 @@
 import type { PeerCalls } from './peer-calls.js';
 import type { DeltaParams, DeltaResult } from './peer-messages.js';
 
-/**
- * Shortest time between two calls to peers. While many changes come one after the other, as where all
- * hosts start, each message tells of a newer one; one call brings all of them.
- */
+/** Minimum interval between calls to peers, which batches rapid changes, as when all hosts start. */
 const MIN_FETCH_INTERVAL_MILLISECONDS = 150;
 
 export interface ViewExchangeOptions {
@@ -17,11 +14,11 @@
   readonly events: EventLog;
   readonly view: FleetView;
   readonly client: PeerCalls;
-  /** When the store last answered this host itself, in monotonic milliseconds. */
+  /** Time of the store's last response to this host itself, in monotonic milliseconds. */
   readonly storeAnsweredAt: () => number;
 }
 
-/** Hands what is known of the store to hosts that ask for it by a call, and asks them. */
+/** Serves store changes to peers over RPC and fetches changes from them. */
 export class ViewExchange {
   readonly #options: ViewExchangeOptions;
   #isFetching = false;
@@ -31,56 +28,56 @@
     this.#options = options;
   }
 
-  /** Answers a peer that asks for what it does not know yet. */
+  /** Returns the changes that a peer lacks, or a snapshot. */
   deltaFor({ afterRevision, afterEpoch }: DeltaParams): DeltaResult {
     const { view } = this.#options;
     const age = this.#storeAnswerAge();
     const after = { epoch: afterEpoch, revision: afterRevision };
-    const isFurther = epochOf(after) > view.epoch;
-    const delta = afterRevision === 0 || isFurther ? undefined : view.deltaSince(after);
-    const { kept = [], ...known } = delta ?? view.snapshot();
+    const isNewerEpoch = epochOf(after) > view.epoch;
+    const delta = afterRevision === 0 || isNewerEpoch ? undefined : view.deltaSince(after);
+    const { kept = [], ...result } = delta ?? view.snapshot();
     return {
       isWhole: delta === undefined,
-      ...known,
-      changes: [...known.changes],
+      ...result,
+      changes: [...result.changes],
       ...(kept.length === 0 ? {} : { kept: [...kept] }),
       ...(age === undefined ? {} : { answeredAgeMilliseconds: age }),
     };
   }
 
-  /** Asks a peer, by its address, for what it knows beyond this host; tells whether it helped. */
+  /** Fetches and applies the changes that a peer has beyond this host; returns whether it answered. */
   async fetchFrom(address: string): Promise<boolean> {
     const { view, clock } = this.#options;
-    const askedAt = clock.now();
-    const answer = await this.ask(address, view.position);
-    if (answer !== undefined) {
-      this.take(address, answer, askedAt);
+    const requestedAt = clock.now();
+    const delta = await this.ask(address, view.position);
+    if (delta !== undefined) {
+      this.take(address, delta, requestedAt);
     }
-    return answer !== undefined;
+    return delta !== undefined;
   }
 
-  /** What a peer knows beyond a position; undefined where it does not answer, or knows nothing. */
+  /** Requests a peer's changes since a position; undefined if it does not answer or has none. */
   async ask(address: string, after: StorePosition): Promise<DeltaResult | undefined> {
-    const answer = await this.#options.client.delta(address, after);
-    return answer.isErr() || answer.value.revision === 0 ? undefined : answer.value;
+    const result = await this.#options.client.delta(address, after);
+    return result.isErr() || result.value.revision === 0 ? undefined : result.value;
   }
 
-  /** Takes over what a peer answered. */
-  take(address: string, answer: DeltaResult, askedAt: number): void {
+  /** Applies a delta that a peer returned. */
+  take(address: string, delta: DeltaResult, requestedAt: number): void {
     const { view } = this.#options;
-    const { isWhole, epoch, revision, changes, answeredAgeMilliseconds } = answer;
+    const { isWhole, epoch, revision, changes, answeredAgeMilliseconds } = delta;
     if (isWhole) {
       view.replace({ epoch, revision }, changes);
     } else {
-      view.apply(answer);
+      view.apply(delta);
     }
-    if (answeredAgeMilliseconds !== undefined && epochOf(answer) === view.epoch) {
-      view.confirm(view.lastChange, askedAt - answeredAgeMilliseconds);
+    if (answeredAgeMilliseconds !== undefined && epochOf(delta) === view.epoch) {
+      view.confirm(view.lastChange, requestedAt - answeredAgeMilliseconds);
     }
-    this.logChanges(address, answer);
+    this.logChanges(address, delta);
   }
 
-  /** Asks a peer, by its address, unless a call is under way or has just been; tells whether it does. */
+  /** Starts a fetch unless one is in progress or recent; returns whether it did. */
   fetchIfIdle(address: string): boolean {
     const now = this.#options.clock.now();
     if (this.#isFetching || now - this.#fetchedAt < MIN_FETCH_INTERVAL_MILLISECONDS) {
@@ -94,7 +91,7 @@
     return true;
   }
 
-  /** Writes which keys others' news was about. */
+  /** Logs the keys of changes that were received from a peer. */
   logChanges(
     source: string,
     { revision, changes }: Pick<DeltaResult, 'revision' | 'changes'>,
