--- a/packages/entry/src/peers/fleet-summary.ts
+++ b/packages/entry/src/peers/fleet-summary.ts
@@ -43,7 +43,7 @@
   for (const [region = '', busyCores = '', ...rates] of decodeRows(text)) {
     const summary = { busyCores: Number(busyCores), asked: parseRates(rates) };
     if (![summary.busyCores, ...Object.values(summary.asked)].every(Number.isFinite)) {
-      context.addIssue('expected rows of region, busy cores and pairs of service and rate');
+      context.addIssue('expected rows of region, busy cores and service rates');
       return z.NEVER;
     }
     regions.set(region, summary);
--- a/packages/entry/src/peers/host-status.ts
+++ b/packages/entry/src/peers/host-status.ts
@@ -30,7 +30,7 @@
   const statuses = decodeRows(text).map(toStatus);
   if (!statuses.every(isComplete)) {
     context.addIssue(
-      'expected rows of name, incarnation, sequence, leaving, utilization percent and pairs of service and rate',
+      'expected rows of name, incarnation, sequence, leaving, utilization, service rates',
     );
   }
   return statuses;
--- a/packages/entry/src/peers/message-writer.ts
+++ b/packages/entry/src/peers/message-writer.ts
@@ -37,7 +37,7 @@
   readonly accounts: AccountLimitController;
   readonly limits: TargetLimitController;
   readonly suspects: SuspectController;
-  readonly answers: StoreConfirmations;
+  readonly confirmations: StoreConfirmations;
   readonly own: EntryHostRecord;
   readonly isLeaving: () => boolean;
   /** Fraction of time that this host is busy, from 0 to 1. */
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Latest reports that the totals include, for hosts of this domain with requests or usage of target
-   * limits; these subtract their own part.
+   * Latest reports that the totals include, for hosts of this domain with requests or usage of
+   * target limits; these subtract their own part.
    */
   #includedReports(includesLoads: boolean): [string, number][] {
     const { loads, limits } = this.#options;
@@ -181,8 +181,8 @@
   }
 
   #commonFields(inFlight: InFlightCounts, usage: UsageByName): Record<string, unknown> {
-    const { view, answers, own, accounts } = this.#options;
-    const { newest } = answers;
+    const { view, confirmations, own, accounts } = this.#options;
+    const { newest } = confirmations;
     const accountRows = encodeAccountUsage(usage);
     return {
       controlAddress: own.controlAddress,
@@ -215,7 +215,7 @@
     };
   }
 
-  /** Statuses of this host and of live hosts of its domain; other domains have relays of their own. */
+  /** Statuses of this host and of the live hosts of its domain. */
   #ownDomainStatuses(): HostStatus[] {
     const { peers, view, own } = this.#options;
     const hosts = view.records('entryHost').map(({ host }) => host);
@@ -233,7 +233,7 @@
 
   /** Records a new response of the store to this host under the sequence number of this round. */
   #recordStoreAnswer(): void {
-    const { clock, view, answers, own, storeAnsweredAt } = this.#options;
+    const { clock, view, confirmations, own, storeAnsweredAt } = this.#options;
     const answeredAt = storeAnsweredAt();
     if (answeredAt <= this.#recordedAnswerAt) {
       return;
@@ -243,6 +243,6 @@
     const ageMilliseconds = clock.now() - answeredAt;
     const { epoch, revision: lastChange } = view.lastChange;
     const sequence = this.#sequence;
-    answers.record({ name, incarnation, sequence, lastChange, epoch, ageMilliseconds });
+    confirmations.record({ name, incarnation, sequence, lastChange, epoch, ageMilliseconds });
   }
 }
--- a/packages/entry/src/peers/peer-exchange.ts
+++ b/packages/entry/src/peers/peer-exchange.ts
@@ -46,7 +46,7 @@
   z.object({ method: z.literal(FLEET_DIGEST_METHOD), params: fleetDigestSchema }),
 ]);
 
-export interface PeerExchangeOptions extends Omit<MessageWriterOptions, 'answers' | 'own'> {
+export interface PeerExchangeOptions extends Omit<MessageWriterOptions, 'confirmations' | 'own'> {
   readonly events: EventLog;
   readonly viewExchange: ViewExchange;
   readonly createTransport: CreateTransport;
@@ -60,9 +60,9 @@
 }
 
 /**
- * Exchanges state with other entry hosts by datagram. Each host reports to the relays of its failure
- * domain; relays send digests of their domain to other domains' relays, and digests of the whole fleet
- * to their own domain. Store changes that a digest does not carry are fetched by RPC.
+ * Exchanges state with other entry hosts by datagram. Each host reports to the relays of its
+ * failure domain; relays send digests of their domain to other domains' relays, and digests of the
+ * fleet to their own domain. Store changes that a digest does not carry are fetched by RPC.
  */
 export class PeerExchange {
   readonly #options: PeerExchangeOptions;
@@ -104,7 +104,7 @@
 
   start(own: EntryHostRecord): void {
     const plan = new RelayPlan({ ...this.#options, own });
-    const writer = new MessageWriter({ ...this.#options, answers: this.#confirmations, own });
+    const writer = new MessageWriter({ ...this.#options, confirmations: this.#confirmations, own });
     this.#running = { own, plan, writer };
     this.#tasks.start('reports', async (signal) => {
       while (!signal.aborted) {
@@ -146,7 +146,7 @@
     });
   }
 
-  /** Triggers a round for an urgent update; updates received from others are passed on only by relays. */
+  /** Triggers a round for an urgent update; only relays pass on updates from others. */
   propagateUrgent(source: UpdateSource): void {
     if (source === 'own' || this.#isRelay) {
       this.triggerRound();
@@ -251,7 +251,7 @@
     }
   }
 
-  /** Fetches changes that a peer retains beyond a restored store, if they differ from this host's. */
+  /** Fetches what a peer retains beyond a restored store, if it differs from this host's. */
   #fetchRetained(name: string, { epoch, kept, controlAddress }: CommonFields): void {
     const { view, viewExchange } = this.#options;
     const isDifferent = kept !== undefined && kept !== view.retainedDigest && epoch === view.epoch;
--- a/packages/entry/src/peers/peer-loads.ts
+++ b/packages/entry/src/peers/peer-loads.ts
@@ -16,8 +16,8 @@
 }
 
 /**
- * Requests of other entry hosts in flight at targets. A source is a host, another failure domain, or
- * the whole fleet; its latest report replaces the one before.
+ * Requests of other entry hosts in flight at targets. A source is a host, another failure domain,
+ * or the fleet; its latest report replaces the one before.
  */
 export class PeerLoads {
   readonly #clock: Clock;
--- a/packages/entry/src/peers/peer-table.ts
+++ b/packages/entry/src/peers/peer-table.ts
@@ -25,8 +25,8 @@
 
 /**
  * Membership table of the other entry hosts. Relays track hosts individually; other hosts rely on
- * the fleet summaries of relays. The last status of a host that timed out is kept, so that a delayed
- * copy of it does not revive the host.
+ * the fleet summaries of relays. The last status of a host that timed out is kept, so that a
+ * delayed copy of it does not revive the host.
  */
 export class PeerTable {
   readonly #alive = new Map<string, Peer>();
--- a/packages/entry/src/peers/peer-usage.ts
+++ b/packages/entry/src/peers/peer-usage.ts
@@ -32,8 +32,8 @@
 }
 
 /**
- * Usage by other entry hosts of limits that the whole fleet shares: limits of accounts, or limits that
- * targets advertise. A source is a host, another failure domain, or the whole fleet.
+ * Usage by other entry hosts of limits that the fleet shares: limits of accounts, or limits that
+ * targets advertise. A source is a host, another failure domain, or the fleet.
  */
 export class PeerUsage {
   readonly #options: PeerUsageOptions;
@@ -59,7 +59,7 @@
     return usage;
   }
 
-  /** Returns the source key of a host; usage of its former incarnation counts for one more window. */
+  /** Returns a host's source key; usage of a former incarnation counts for one more window. */
   sourceOf(host: HostIncarnation): string {
     const source = loadSource.host(incarnationKey(host));
     const previous = this.#sourceOfHost.get(host.name);
--- a/packages/entry/src/peers/relay-plan.ts
+++ b/packages/entry/src/peers/relay-plan.ts
@@ -101,7 +101,7 @@
     };
   }
 
-  /** Returns the domain's relays whose turn it is; if none of its hosts is alive, one host in turn. */
+  /** Returns the domain's relays whose turn it is; if it has no live host, one host in turn. */
   #scheduledRelays(
     hosts: readonly EntryHostRecord[],
     isTurn: (host: EntryHostRecord, index: number) => boolean,
--- a/packages/entry/src/peers/view-exchange.ts
+++ b/packages/entry/src/peers/view-exchange.ts
@@ -6,7 +6,7 @@
 import type { PeerCalls } from './peer-calls.js';
 import type { DeltaParams, DeltaResult } from './peer-messages.js';
 
-/** Minimum interval between calls to peers, which batches rapid changes, as when all hosts start. */
+/** Minimum interval between calls to peers; batches rapid changes, as when all hosts start. */
 const MIN_FETCH_INTERVAL_MILLISECONDS = 150;
 
 export interface ViewExchangeOptions {
@@ -45,7 +45,7 @@
     };
   }
 
-  /** Fetches and applies the changes that a peer has beyond this host; returns whether it answered. */
+  /** Fetches and applies changes that this host lacks; returns whether the peer answered. */
   async fetchFrom(address: string): Promise<boolean> {
     const { view, clock } = this.#options;
     const requestedAt = clock.now();
--- a/packages/entry/tests/peers/message-writer.test.ts
+++ b/packages/entry/tests/peers/message-writer.test.ts
@@ -16,7 +16,7 @@
   makeSuspectDuty,
 } from '../fixtures.js';
 
-/** A relay, `host-1`, that hears `host-2` and not `host-3`. */
+/** Makes the writer of relay `host-1`, which receives reports of `host-2` but not of `host-3`. */
 function makeWriter() {
   const clock = new FakeClock();
   const { log } = captureEvents();
@@ -40,7 +40,7 @@
     accounts: makeAccountDuty(clock),
     limits: makeLimitDuty(clock, log),
     suspects: makeSuspectDuty(clock, log),
-    answers: new StoreConfirmations(clock),
+    confirmations: new StoreConfirmations(clock),
     own: makeHostRecord({ name: 'host-1' }),
     isLeaving: () => false,
     utilization: () => 0.1,
@@ -56,21 +56,21 @@
   return { peers, digest };
 }
 
-describe('the digest of the fleet', () => {
-  it('names the registered hosts that the relay does not hear', () => {
+describe('fleet digest', () => {
+  it('lists registered hosts that the relay receives no reports of', () => {
     expect([...makeWriter().digest().absent]).toEqual(['host-3 first']);
   });
 
-  it('does not pass on what another relay tells of the whole', () => {
+  it('does not depend on fleet summaries of other relays', () => {
     const { peers, digest } = makeWriter();
     peers.updateFromFleet('another relay', { absent: new Set(), regions: new Map() });
     expect(peers.isServing(makeHostRecord({ name: 'host-3' }))).toBe(true);
     expect([...digest().absent]).toEqual(['host-3 first']);
   });
 
-  it('sums up what a region is busy with and asks for', () => {
-    const told = makeWriter().digest().regions.get('jylland');
-    expect(told?.busyCores).toBeCloseTo(0.5 * (0.1 + 0.2));
-    expect(told?.asked).toEqual({ 'verdict-api': 0.75 });
+  it('sums the busy cores and the demand of a region', () => {
+    const summary = makeWriter().digest().regions.get('jylland');
+    expect(summary?.busyCores).toBeCloseTo(0.5 * (0.1 + 0.2));
+    expect(summary?.asked).toEqual({ 'verdict-api': 0.75 });
   });
 });
--- a/packages/entry/tests/peers/peer-exchange.test.ts
+++ b/packages/entry/tests/peers/peer-exchange.test.ts
@@ -32,7 +32,7 @@
   const state = makeRoutingState(clock, view, log);
   const storeAnsweredAt = (): number => store.answeredAt;
   const client = new PeerClient();
-  const changes = new ViewExchange({ clock, events: log, view, client, storeAnsweredAt });
+  const viewExchange = new ViewExchange({ clock, events: log, view, client, storeAnsweredAt });
   const exchange = new PeerExchange({
     clock,
     events: log,
@@ -42,7 +42,7 @@
     accounts: makeAccountDuty(clock),
     limits: makeLimitDuty(clock, log),
     suspects: makeSuspectDuty(clock, log),
-    viewExchange: changes,
+    viewExchange,
     storeAnsweredAt,
     isLeaving: () => false,
     utilization: () => 0,
@@ -51,10 +51,10 @@
   });
   view.replace({ revision: 5 }, [targetChange(5)]);
   await clock.advance(1_000);
-  return { clock, view, peers, state, store, exchange, changes, events };
+  return { clock, view, peers, state, store, exchange, viewExchange, events };
 }
 
-/** A watcher's report that the store had nothing newer than this change. */
+/** A watcher's report with a store confirmation of a revision. */
 function reportText(
   ageMilliseconds: number,
   lastChange = 5,
@@ -86,7 +86,7 @@
   );
 }
 
-/** What a relay of this host's own domain tells it. */
+/** A fleet digest by a relay of this host's own domain. */
 function fleetText(changes: Record<string, unknown> = {}): string {
   return JSON.stringify(
     createJSONRPCNotification(FLEET_DIGEST_METHOD, {
@@ -103,7 +103,7 @@
 }
 
 describe('PeerExchange', () => {
-  it('takes all registered hosts for serving but those that a relay names', async () => {
+  it('treats all registered hosts as serving except those that a relay lists as absent', async () => {
     const { peers, exchange } = await makeExchange();
     expect(peers.isServing(makeHostRecord({ name: 'host-1' }))).toBe(false);
     exchange.handleDatagram(fleetText());
@@ -112,7 +112,7 @@
     expect(peers.isServing(makeHostRecord({ name: 'host-2', incarnation: 'next' }))).toBe(true);
   });
 
-  it('forgets what a relay told that fell silent', async () => {
+  it('drops the summary of a relay that times out', async () => {
     const { clock, peers, exchange } = await makeExchange();
     exchange.handleDatagram(fleetText());
     await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
@@ -120,20 +120,20 @@
     expect(peers.isServing(makeHostRecord({ name: 'host-1' }))).toBe(false);
   });
 
-  it('hears what regions ask for exactly, also where that is less than one request a second', async () => {
+  it('receives fractional demand of regions exactly', async () => {
     const { peers, exchange } = await makeExchange();
     exchange.handleDatagram(fleetText());
     expect(peers.regionDemand?.get('jylland')).toEqual({ 'verdict-api': 0.75 });
     expect(peers.regionSummary('jylland')?.busyCores).toBe(1.25);
   });
 
-  it('takes a peer’s answer from the store as a confirmation of its own view', async () => {
+  it('confirms its own view by a store confirmation of a peer', async () => {
     const { view, exchange } = await makeExchange();
     exchange.handleDatagram(reportText(200));
     expect(view.confirmedAt).toBe(800);
   });
 
-  it('takes an answer once, however often it is told', async () => {
+  it('applies a store confirmation only once', async () => {
     const { clock, view, exchange } = await makeExchange();
     exchange.handleDatagram(reportText(200));
     await clock.advance(500);
@@ -152,13 +152,13 @@
     expect(view.confirmedAt).toBe(800);
   });
 
-  it('does not take a confirmation of changes that it lacks', async () => {
+  it('ignores a store confirmation of changes that it lacks', async () => {
     const { view, exchange } = await makeExchange();
     exchange.handleDatagram(reportText(200, 6));
     expect(view.confirmedAt).toBe(-Infinity);
   });
 
-  it('takes the changes that a digest carries', async () => {
+  it('applies the changes in a digest', async () => {
     const { view, exchange, events } = await makeExchange();
     const news = { afterRevision: 5, revision: 6, changes: [targetChange(6, { id: 'new' })] };
     exchange.handleDatagram(digestText({ lastChange: 6, news }));
@@ -166,7 +166,7 @@
     expect(events.at(-1)).toMatchObject({ event: 'view', source: 'relay', revision: 6 });
   });
 
-  it('hears of the hosts of another domain from its relay', async () => {
+  it('learns of the hosts of another domain from its relay', async () => {
     const { peers, exchange } = await makeExchange();
     exchange.handleDatagram(digestText());
     expect(peers.alive.map(({ name, leaving }) => [name, leaving])).toEqual([
@@ -175,7 +175,7 @@
     ]);
   });
 
-  it('counts the requests of another domain at a target', async () => {
+  it('counts requests of another domain at a target', async () => {
     const { clock, state, exchange } = await makeExchange();
     const [service] = [...state.services];
     const [target] = [...(service?.targets.values() ?? [])];
@@ -183,7 +183,7 @@
     expect(target?.load(clock.now())).toBe(3);
   });
 
-  it('ignores the loads of a report that comes after a later one', async () => {
+  it('ignores the loads of a stale report', async () => {
     const { clock, state, exchange } = await makeExchange();
     const [service] = [...state.services];
     const [target] = [...(service?.targets.values() ?? [])];
@@ -193,29 +193,32 @@
     expect(target?.load(clock.now())).toBe(1);
   });
 
-  it('does not pass on, in answers to calls, what only others were answered', async () => {
-    const { exchange, changes } = await makeExchange();
+  it('omits store confirmations of other hosts from delta results', async () => {
+    const { exchange, viewExchange } = await makeExchange();
     exchange.handleDatagram(reportText(200));
-    expect(changes.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBeUndefined();
+    expect(viewExchange.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBeUndefined();
   });
 
-  it('tells how long ago the store answered this host itself', async () => {
-    const { clock, store, changes } = await makeExchange();
+  it('includes the age of the store’s last response to this host in delta results', async () => {
+    const { clock, store, viewExchange } = await makeExchange();
     store.answeredAt = 900;
     await clock.advance(50);
-    expect(changes.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBe(150);
+    expect(viewExchange.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBe(150);
   });
 
-  it('gives only what the caller does not know, or everything where that is not kept', async () => {
-    const { view, changes } = await makeExchange();
+  it('returns only changes that the caller lacks, or a snapshot if these are not known', async () => {
+    const { view, viewExchange } = await makeExchange();
     view.apply({ afterRevision: 5, revision: 6, changes: [targetChange(6, { id: 'new' })] });
-    expect(changes.deltaFor({ afterRevision: 5 })).toMatchObject({ isWhole: false, revision: 6 });
-    expect(changes.deltaFor({ afterRevision: 5 }).changes).toHaveLength(1);
-    expect(changes.deltaFor({ afterRevision: 2 })).toMatchObject({ isWhole: true });
-    expect(changes.deltaFor({ afterRevision: 2 }).changes).toHaveLength(2);
+    expect(viewExchange.deltaFor({ afterRevision: 5 })).toMatchObject({
+      isWhole: false,
+      revision: 6,
+    });
+    expect(viewExchange.deltaFor({ afterRevision: 5 }).changes).toHaveLength(1);
+    expect(viewExchange.deltaFor({ afterRevision: 2 })).toMatchObject({ isWhole: true });
+    expect(viewExchange.deltaFor({ afterRevision: 2 }).changes).toHaveLength(2);
   });
 
-  it('says what is wrong with a message that it does not understand, and goes on', async () => {
+  it('ignores malformed messages', async () => {
     const { peers, exchange } = await makeExchange();
     exchange.handleDatagram('{"method":"entry.report","params":{}}');
     exchange.handleDatagram('no JSON');
--- a/packages/entry/tests/peers/peer-loads.test.ts
+++ b/packages/entry/tests/peers/peer-loads.test.ts
@@ -18,18 +18,18 @@
     }
     return found;
   };
-  const reborn = (id: string): void => {
+  const restart = (id: string): void => {
     view.apply({
       afterRevision: 1,
       revision: 2,
       changes: [targetChange(2, { id, bornAt: 1_000 })],
     });
   };
-  return { clock, loads: new PeerLoads(clock, state), target, reborn };
+  return { clock, loads: new PeerLoads(clock, state), target, restart };
 }
 
 describe('PeerLoads', () => {
-  it('adds what the sources tell of a target, the last of each', () => {
+  it('adds up the latest reports of all sources', () => {
     const { loads, target, clock } = makeLoads();
     loads.update('host h1', { a: 2, b: 1 });
     loads.update('domain d1', { a: 3 });
@@ -38,10 +38,10 @@
     expect(target('b').load(clock.now())).toBe(0);
   });
 
-  it('counts what is told of a target’s present start, and nothing of a former one', () => {
-    const { clock, loads, target, reborn } = makeLoads();
+  it('counts requests at the current incarnation of a target only', () => {
+    const { clock, loads, target, restart } = makeLoads();
     loads.update('host h1', { a: 2 });
-    reborn('a');
+    restart('a');
     expect(target('a').load(clock.now())).toBe(0);
     loads.update('host h1', { a: 2, [target('a').incarnationId]: 1 });
     expect(target('a').load(clock.now())).toBe(1);
@@ -49,7 +49,7 @@
     expect(loads.recordReport(1)).toEqual({ [target('a').incarnationId]: 3 });
   });
 
-  it('leaves its own part out of what is told of the whole fleet', () => {
+  it('subtracts its own requests from fleet totals', () => {
     const { loads, target, clock } = makeLoads();
     target('a').inFlight = 2;
     loads.recordReport(7);
@@ -60,14 +60,14 @@
     expect(target('b').load(clock.now())).toBe(1);
   });
 
-  it('counts nothing twice when it begins to hear of the whole fleet', () => {
+  it('replaces reports of other sources by fleet totals', () => {
     const { loads, target, clock } = makeLoads();
     loads.update('host h1', { a: 2 });
     loads.updateFromFleet('fleet', { a: 3 }, 0);
     expect(target('a').load(clock.now())).toBe(3);
   });
 
-  it('forgets what a source told that fell silent', async () => {
+  it('drops sources that time out', async () => {
     const { clock, loads, target } = makeLoads();
     loads.update('host h1', { a: 2 });
     await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
@@ -75,13 +75,13 @@
     expect(target('a').load(clock.now())).toBe(0);
   });
 
-  it('leaves out targets that have little to do, by their slots', () => {
+  it('omits targets with little load for their slots', () => {
     const { loads, target } = makeLoads();
     expect(target('a').record.slots).toBe(6);
     expect(loads.withoutIdle({ a: 3, b: 2 })).toEqual({ a: 3 });
   });
 
-  it('sums the sources of a kind', () => {
+  it('sums the selected sources', () => {
     const { loads } = makeLoads();
     loads.update('host h1', { a: 2 });
     loads.update('domain d1', { a: 3, b: 1 });
--- a/packages/entry/tests/peers/peer-table.test.ts
+++ b/packages/entry/tests/peers/peer-table.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe('PeerTable', () => {
-  it('drops a peer that falls silent, and says so', async () => {
+  it('drops a peer that times out and logs an event', async () => {
     const { clock, table, events } = makeTable();
     table.update(makeStatus(), 'itself');
     await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
@@ -34,14 +34,14 @@
     expect(events[1]).toMatchObject({ peer: 'host-1', alive: false });
   });
 
-  it.each(['itself', 'another'] as const)('ignores a status from %s that is not newer', (from) => {
+  it.each(['itself', 'another'] as const)('ignores a stale status from %s', (from) => {
     const { table } = makeTable();
     table.update(makeStatus({ sequence: 5 }), 'itself');
     expect(table.update(makeStatus({ sequence: 5, leaving: true }), from)).toBe(false);
     expect(table.get('host-1')?.leaving).toBe(false);
   });
 
-  it('does not bring a silent peer back by what others still tell of it', async () => {
+  it('does not revive a timed-out peer by a stale status from others', async () => {
     const { clock, table } = makeTable();
     table.update(makeStatus({ sequence: 5 }), 'itself');
     await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
@@ -52,7 +52,7 @@
     expect(table.alive).toHaveLength(1);
   });
 
-  it('takes a restarted peer’s first report', () => {
+  it('accepts the first report of a restarted peer', () => {
     const { table } = makeTable();
     table.update(makeStatus({ sequence: 500 }), 'itself');
     table.update(makeStatus({ incarnation: 'second', sequence: 1 }), 'itself');
@@ -62,20 +62,23 @@
   it.each([
     ['first', 'second'],
     ['second', 'second'],
-  ])('believes others of another start only if it is registered: known %s', (known, expected) => {
-    const { table } = makeTable('second');
-    table.update(makeStatus({ incarnation: known, sequence: 9 }), 'itself');
-    const other = known === 'first' ? 'second' : 'first';
-    table.update(makeStatus({ incarnation: other, sequence: 50 }), 'another');
-    expect(table.get('host-1')?.incarnation).toBe(expected);
-  });
+  ])(
+    'accepts another incarnation from others only if it is registered: known %s',
+    (known, expected) => {
+      const { table } = makeTable('second');
+      table.update(makeStatus({ incarnation: known, sequence: 9 }), 'itself');
+      const other = known === 'first' ? 'second' : 'first';
+      table.update(makeStatus({ incarnation: other, sequence: 50 }), 'another');
+      expect(table.get('host-1')?.incarnation).toBe(expected);
+    },
+  );
 
   it.each([
-    ['the same start of it', {}, true],
-    ['another start of it', { incarnation: 'second' }, false],
-    ['one that leaves', { leaving: true }, false],
-    ['one that is not heard from', { name: 'host-2' }, false],
-  ])('sends callers to a host where reports are of %s: %o', (_case, changes, expected) => {
+    ['the same incarnation', {}, true],
+    ['another incarnation', { incarnation: 'second' }, false],
+    ['a leaving host', { leaving: true }, false],
+    ['another host', { name: 'host-2' }, false],
+  ])('checks whether a host is serving by reports of %s: %o', (_case, changes, expected) => {
     const { table } = makeTable();
     table.update(makeStatus(changes), 'itself');
     expect(table.isServing(makeHostRecord())).toBe(expected);
--- a/packages/entry/tests/peers/relay-plan.test.ts
+++ b/packages/entry/tests/peers/relay-plan.test.ts
@@ -6,30 +6,30 @@
 import { RelayPlan } from '../../src/peers/relay-plan.js';
 import { hostChange, captureEvents } from '../fixtures.js';
 
-interface PlannedFleet {
+interface FleetShape {
   readonly domains: number;
   readonly hostsPerDomain: number;
-  /** Region of each failure domain; `jylland` where nothing is said. */
+  /** Region of each failure domain; defaults to `jylland`. */
   readonly regions?: Readonly<Record<string, string>>;
 }
 
-/** Hosts of domains `d0`, `d1`, ..., named after their domain; the last of each can carry most. */
+/** Hosts of domains `d0`, `d1`, ..., named after their domain; the last two have most capacity. */
 function makeHosts({
   domains,
   hostsPerDomain,
   regions = {},
-}: PlannedFleet): Partial<EntryHostRecord>[] {
+}: FleetShape): Partial<EntryHostRecord>[] {
   return Array.from({ length: domains * hostsPerDomain }, (_, index) => {
     const domain = `d${Math.floor(index / hostsPerDomain)}`;
-    const place = index % hostsPerDomain;
-    const name = `${domain}-h${place}`;
-    const capacity = place >= hostsPerDomain - 2 ? 1.35 : 0.27;
+    const position = index % hostsPerDomain;
+    const name = `${domain}-h${position}`;
+    const capacity = position >= hostsPerDomain - 2 ? 1.35 : 0.27;
     const region = regions[domain] ?? 'jylland';
     return { name, incarnation: `start of ${name}`, failureDomain: domain, region, capacity };
   });
 }
 
-function makePlan(fleet: PlannedFleet, ownName: string) {
+function makePlan(fleet: FleetShape, ownName: string) {
   const clock = new FakeClock();
   const { log } = captureEvents();
   const view = new FleetView();
@@ -45,8 +45,8 @@
     throw new Error(`no host ${ownName}`);
   }
   const plan = new RelayPlan({ clock, view, peers, own });
-  const hear = (isHeard: (name: string) => boolean): void => {
-    for (const { name, incarnation } of records.filter((host) => isHeard(host.name))) {
+  const receiveReports = (isReporting: (name: string) => boolean): void => {
+    for (const { name, incarnation } of records.filter((host) => isReporting(host.name))) {
       const sequence = (peers.get(name)?.sequence ?? 0) + 1;
       peers.update(
         { name, incarnation, sequence, leaving: false, utilization: 0, asked: {} },
@@ -54,88 +54,76 @@
       );
     }
   };
-  return { clock, peers, plan, hear };
+  return { clock, peers, plan, receiveReports };
 }
 
-/** Waits until every host has either been heard just now or counts as silent. */
-async function settle({ clock, peers, plan, hear }: ReturnType<typeof makePlan>, dead: string[]) {
+/** Advances the clock until every host either has reported or has timed out. */
+async function settle(
+  { clock, peers, plan, receiveReports }: ReturnType<typeof makePlan>,
+  dead: string[],
+) {
   plan.recipients(false);
   await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
-  hear((name) => !dead.includes(name));
+  receiveReports((name) => !dead.includes(name));
   peers.sweep();
 }
 
-/** The plan's recipients, members and foreign relays each as a whole. */
+/** The plan's recipients, with members and foreign relays combined. */
 function recipientsOf(plan: RelayPlan, isUrgent: boolean) {
   const recipients = plan.recipients(isUrgent);
-  const {
-    activeMembers: askingMembers,
-    idleMembers: quietMembers,
-    sameRegionRelays: nearRelays,
-    otherRegionRelays: farRelays,
-  } = recipients;
+  const { activeMembers, idleMembers, sameRegionRelays, otherRegionRelays } = recipients;
   return {
     ...recipients,
-    members: [...askingMembers, ...quietMembers],
-    foreignRelays: [...nearRelays, ...farRelays],
+    members: [...activeMembers, ...idleMembers],
+    foreignRelays: [...sameRegionRelays, ...otherRegionRelays],
   };
 }
 
 const names = (hosts: readonly EntryHostRecord[]): string[] => hosts.map(({ name }) => name).sort();
 
 describe('RelayPlan', () => {
-  it('has a member report to the two hosts of its domain that carry most', async () => {
+  it('sends reports of a member to the two hosts of its domain with most capacity', async () => {
     const fleet = makePlan({ domains: 3, hostsPerDomain: 5 }, 'd0-h0');
     await settle(fleet, []);
-    const {
-      isRelay,
-      reportRecipients: reports,
-      members,
-      foreignRelays,
-    } = recipientsOf(fleet.plan, true);
+    const { isRelay, reportRecipients, members, foreignRelays } = recipientsOf(fleet.plan, true);
     expect(isRelay).toBe(false);
-    expect(names(reports)).toEqual(['d0-h3', 'd0-h4']);
+    expect(names(reportRecipients)).toEqual(['d0-h3', 'd0-h4']);
     expect([...members, ...foreignRelays]).toEqual([]);
   });
 
-  it('has a relay tell its members and the other domains’ relays', async () => {
+  it('sends digests of a relay to its members and to relays of other domains', async () => {
     const fleet = makePlan({ domains: 3, hostsPerDomain: 5 }, 'd0-h4');
     await settle(fleet, []);
-    const {
-      isRelay,
-      reportRecipients: reports,
-      members,
-      foreignRelays,
-    } = recipientsOf(fleet.plan, true);
+    const { isRelay, reportRecipients, members, foreignRelays } = recipientsOf(fleet.plan, true);
     expect(isRelay).toBe(true);
-    expect(names(reports)).toEqual(['d0-h3']);
+    expect(names(reportRecipients)).toEqual(['d0-h3']);
     expect(names(members)).toEqual(['d0-h0', 'd0-h1', 'd0-h2']);
     expect(names(foreignRelays)).toEqual(['d1-h3', 'd1-h4', 'd2-h3', 'd2-h4']);
   });
 
-  it('tells each foreign relay in every second round where nothing is urgent', async () => {
+  it('alternates between foreign relays in regular rounds', async () => {
     const fleet = makePlan({ domains: 3, hostsPerDomain: 5 }, 'd0-h4');
     await settle(fleet, []);
     const rounds = Array.from({ length: 4 }, () =>
       names(recipientsOf(fleet.plan, false).foreignRelays),
     );
     const all = ['d1-h3', 'd1-h4', 'd2-h3', 'd2-h4'];
-    for (const [index, told] of rounds.slice(1).entries()) {
-      expect([...told, ...(rounds[index] ?? [])].sort()).toEqual(all);
+    for (const [index, recipients] of rounds.slice(1).entries()) {
+      expect([...recipients, ...(rounds[index] ?? [])].sort()).toEqual(all);
     }
   });
 
-  it('shares the foreign relays out between the relays of a domain', async () => {
-    const told = [];
+  it('divides the foreign relays among the relays of a domain', async () => {
+    const recipients = [];
     for (const own of ['d0-h3', 'd0-h4']) {
       const fleet = makePlan({ domains: 2, hostsPerDomain: 5 }, own);
       await settle(fleet, []);
-      told.push(...recipientsOf(fleet.plan, false).foreignRelays);
+      recipients.push(...recipientsOf(fleet.plan, false).foreignRelays);
     }
-    expect(names(told)).toEqual(['d1-h3', 'd1-h4']);
+    expect(names(recipients)).toEqual(['d1-h3', 'd1-h4']);
   });
 
-  it('tells every foreign relay each round where it is the only relay of its domain', async () => {
+  it('includes every foreign relay each round if it is the only relay of its domain', async () => {
     const fleet = makePlan({ domains: 2, hostsPerDomain: 1 }, 'd0-h0');
     await settle(fleet, []);
     for (let round = 0; round < 3; round++) {
@@ -143,59 +131,57 @@
     }
   });
 
-  it('replaces a relay that falls silent, at home and elsewhere', async () => {
+  it('replaces a relay that times out, in its own and in other domains', async () => {
     const fleet = makePlan({ domains: 2, hostsPerDomain: 3 }, 'd0-h1');
     await settle(fleet, ['d0-h2', 'd1-h2']);
-    const { reportRecipients: reports, foreignRelays } = recipientsOf(fleet.plan, true);
-    expect(names(reports)).toEqual(['d0-h0']);
+    const { reportRecipients, foreignRelays } = recipientsOf(fleet.plan, true);
+    expect(names(reportRecipients)).toEqual(['d0-h0']);
     expect(names(foreignRelays)).toEqual(['d1-h0', 'd1-h1']);
   });
 
-  it('tries each host of a domain in turn of which none is heard', async () => {
+  it('tries the hosts of a domain in turn if none is alive', async () => {
     const fleet = makePlan({ domains: 2, hostsPerDomain: 3 }, 'd0-h2');
     await settle(fleet, ['d1-h0', 'd1-h1', 'd1-h2']);
     const rounds = Array.from({ length: 3 }, () => recipientsOf(fleet.plan, false).foreignRelays);
     expect(names(rounds.flat())).toEqual(['d1-h0', 'd1-h1', 'd1-h2']);
   });
 
-  it('tells its whole domain while it hears nobody there', () => {
+  it('reports to its whole domain while no other host there is alive', () => {
     const { plan } = makePlan({ domains: 2, hostsPerDomain: 4 }, 'd0-h0');
     expect(names(recipientsOf(plan, false).reportRecipients)).toEqual(['d0-h1', 'd0-h2', 'd0-h3']);
   });
 
-  it('tells members that have requests apart from those that have none', async () => {
+  it('separates members with demand from idle members', async () => {
     const fleet = makePlan({ domains: 2, hostsPerDomain: 5 }, 'd0-h4');
     await settle(fleet, []);
-    const asking = fleet.peers.get('d0-h1');
-    expect(asking).toBeDefined();
-    if (asking !== undefined) {
+    const member = fleet.peers.get('d0-h1');
+    expect(member).toBeDefined();
+    if (member !== undefined) {
       const asked = { 'verdict-api': 0.5 };
-      fleet.peers.update({ ...asking, sequence: asking.sequence + 1, asked }, 'itself');
+      fleet.peers.update({ ...member, sequence: member.sequence + 1, asked }, 'itself');
     }
-    const { activeMembers: askingMembers, idleMembers: quietMembers } =
-      fleet.plan.recipients(false);
-    expect(names(askingMembers)).toEqual(['d0-h1']);
-    expect(names(quietMembers)).toEqual(['d0-h0', 'd0-h2']);
+    const { activeMembers, idleMembers } = fleet.plan.recipients(false);
+    expect(names(activeMembers)).toEqual(['d0-h1']);
+    expect(names(idleMembers)).toEqual(['d0-h0', 'd0-h2']);
   });
 
-  it('tells relays of its own region apart from those of others', async () => {
+  it('separates relays of its own region from those of others', async () => {
     const regions = { d0: 'jylland', d1: 'jylland', d2: 'fyn' };
     const fleet = makePlan({ domains: 3, hostsPerDomain: 3, regions }, 'd0-h2');
     await settle(fleet, []);
-    const { sameRegionRelays: nearRelays, otherRegionRelays: farRelays } =
-      fleet.plan.recipients(true);
-    expect(names(nearRelays)).toEqual(['d1-h1', 'd1-h2']);
-    expect(names(farRelays)).toEqual(['d2-h1', 'd2-h2']);
+    const { sameRegionRelays, otherRegionRelays } = fleet.plan.recipients(true);
+    expect(names(sameRegionRelays)).toEqual(['d1-h1', 'd1-h2']);
+    expect(names(otherRegionRelays)).toEqual(['d2-h1', 'd2-h2']);
   });
 
-  it('sends each host far fewer messages than there are hosts', async () => {
+  it('sends far fewer messages per round than there are hosts', async () => {
     const size = { domains: 6, hostsPerDomain: 15 };
     const counts = [];
     for (const own of ['d0-h0', 'd0-h14']) {
       const fleet = makePlan(size, own);
       await settle(fleet, []);
-      const { reportRecipients: reports, members, foreignRelays } = recipientsOf(fleet.plan, true);
-      counts.push(reports.length + members.length + foreignRelays.length);
+      const { reportRecipients, members, foreignRelays } = recipientsOf(fleet.plan, true);
+      counts.push(reportRecipients.length + members.length + foreignRelays.length);
     }
     expect(counts).toEqual([2, 1 + 13 + 10]);
   });
--- a/packages/entry/tests/peers/rows.test.ts
+++ b/packages/entry/tests/peers/rows.test.ts
@@ -2,8 +2,8 @@
 import { encodeStatuses, hostStatusesSchema } from '../../src/peers/host-status.js';
 import { encodeInFlightCounts, inFlightCountsSchema } from '../../src/peers/in-flight.js';
 
-describe('hosts’ statuses as text', () => {
-  it('come back as they were', () => {
+describe('host status rows', () => {
+  it('round-trip', () => {
     const statuses = [
       {
         name: 'host-1',
@@ -27,21 +27,21 @@
   });
 
   it.each(['host-1', 'host-1\tfirst\tnumber\t0\t0', 'host-1\tfirst\t1\t0\t'])(
-    'are refused where a row is not whole: %j',
+    'are rejected when a row is incomplete: %j',
     (text) => {
       expect(hostStatusesSchema.safeParse(text).success).toBe(false);
     },
   );
 });
 
-describe('requests at targets as text', () => {
-  it('come back as they were', () => {
+describe('in-flight rows', () => {
+  it('round-trip', () => {
     const inFlight = { 'i-1': 3, 'i-2': 11 };
     expect(inFlightCountsSchema.parse(encodeInFlightCounts(inFlight))).toEqual(inFlight);
     expect(inFlightCountsSchema.parse(encodeInFlightCounts({}))).toEqual({});
   });
 
-  it('are refused where a count is none', () => {
+  it('are rejected when a count is missing', () => {
     expect(inFlightCountsSchema.safeParse('i-1\t2\ni-2').success).toBe(false);
   });
 });
--- a/packages/entry/tests/peers/store-confirmations.test.ts
+++ b/packages/entry/tests/peers/store-confirmations.test.ts
@@ -3,7 +3,7 @@
 import type { StoreConfirmation } from '../../src/peers/store-confirmations.js';
 import { StoreConfirmations } from '../../src/peers/store-confirmations.js';
 
-function makeAnswer(changes: Partial<StoreConfirmation> = {}): StoreConfirmation {
+function makeConfirmation(changes: Partial<StoreConfirmation> = {}): StoreConfirmation {
   return {
     name: 'watcher',
     incarnation: 'first',
@@ -14,45 +14,45 @@
   };
 }
 
-async function makeAnswers() {
+async function makeConfirmations() {
   const clock = new FakeClock();
   await clock.advance(1_000);
-  return { clock, answers: new StoreConfirmations(clock) };
+  return { clock, confirmations: new StoreConfirmations(clock) };
 }
 
-test('an answer is passed on with the age that it has by then', async () => {
-  const { clock, answers } = await makeAnswers();
-  expect(answers.record(makeAnswer())).toBe(800);
+test('a confirmation is passed on with its current age', async () => {
+  const { clock, confirmations } = await makeConfirmations();
+  expect(confirmations.record(makeConfirmation())).toBe(800);
   await clock.advance(150);
-  expect(answers.newest).toEqual(makeAnswer({ ageMilliseconds: 350 }));
+  expect(confirmations.newest).toEqual(makeConfirmation({ ageMilliseconds: 350 }));
 });
 
-test('an answer that goes round does not grow younger by the time under way', async () => {
-  const { clock, answers } = await makeAnswers();
+test('a confirmation that circulates between hosts keeps its original time', async () => {
+  const { clock, confirmations } = await makeConfirmations();
   const others = new StoreConfirmations(clock);
-  answers.record(makeAnswer());
+  confirmations.record(makeConfirmation());
   for (let round = 0; round < 20; round++) {
-    const told = answers.newest ?? makeAnswer();
+    const sent = confirmations.newest ?? makeConfirmation();
     await clock.advance(35);
-    others.record(told);
-    const toldBack = others.newest ?? makeAnswer();
+    others.record(sent);
+    const sentBack = others.newest ?? makeConfirmation();
     await clock.advance(35);
-    answers.record(toldBack);
+    confirmations.record(sentBack);
   }
-  expect(answers.newest?.ageMilliseconds).toBe(200 + 20 * 70);
+  expect(confirmations.newest?.ageMilliseconds).toBe(200 + 20 * 70);
 });
 
-test('of two hosts’ answers the younger one is passed on', async () => {
-  const { answers } = await makeAnswers();
-  answers.record(makeAnswer());
-  answers.record(makeAnswer({ name: 'other', ageMilliseconds: 500 }));
-  expect(answers.newest?.name).toBe('watcher');
-  answers.record(makeAnswer({ name: 'other', sequence: 8, ageMilliseconds: 10 }));
-  expect(answers.newest?.name).toBe('other');
+test('the more recent of two confirmations is passed on', async () => {
+  const { confirmations } = await makeConfirmations();
+  confirmations.record(makeConfirmation());
+  confirmations.record(makeConfirmation({ name: 'other', ageMilliseconds: 500 }));
+  expect(confirmations.newest?.name).toBe('watcher');
+  confirmations.record(makeConfirmation({ name: 'other', sequence: 8, ageMilliseconds: 10 }));
+  expect(confirmations.newest?.name).toBe('other');
 });
 
-test('a restarted host’s answers count from the start', async () => {
-  const { answers } = await makeAnswers();
-  answers.record(makeAnswer({ sequence: 700 }));
-  expect(answers.record(makeAnswer({ incarnation: 'second', sequence: 1 }))).toBe(800);
+test('confirmations to a restarted host are accepted', async () => {
+  const { confirmations } = await makeConfirmations();
+  confirmations.record(makeConfirmation({ sequence: 700 }));
+  expect(confirmations.record(makeConfirmation({ incarnation: 'second', sequence: 1 }))).toBe(800);
 });
