--- a/packages/entry/src/peers/store-confirmations.ts
+++ b/packages/entry/src/peers/store-confirmations.ts
@@ -24,8 +24,8 @@
 
 /**
  * Keeps the newest store confirmation that this host has received, to pass it on. Each confirmation
- * is accepted only once, by sequence number: ages exclude transit time, so that one that circulates
- * between hosts would otherwise never grow old.
+ * is accepted only once, by sequence number: ages exclude transit time, so one that circulates
+ * between hosts would otherwise appear ever more recent.
  */
 export class StoreConfirmations {
   readonly #clock: Clock;
--- a/packages/entry/src/peers/view-exchange.ts
+++ b/packages/entry/src/peers/view-exchange.ts
@@ -45,7 +45,7 @@
     };
   }
 
-  /** Fetches and applies changes that this host lacks; returns whether the peer answered. */
+  /** Fetches and applies changes that this host lacks; returns whether it succeeded. */
   async fetchFrom(address: string): Promise<boolean> {
     const { view, clock } = this.#options;
     const requestedAt = clock.now();
