--- a/packages/entry/src/peers/in-flight.ts
+++ b/packages/entry/src/peers/in-flight.ts
@@ -11,9 +11,7 @@
   for (const [incarnation = '', count = ''] of decodeRows(text)) {
     const value = Number.parseInt(count, 10);
     if (Number.isNaN(value)) {
-      context.addIssue(
-        `expected rows of target incarnation and count, got ${incarnation}: ${count}`,
-      );
+      context.addIssue(`expected rows of target and count, got ${incarnation}: ${count}`);
       return z.NEVER;
     }
     inFlight[incarnation] = value;
--- a/packages/entry/src/peers/peer-client.ts
+++ b/packages/entry/src/peers/peer-client.ts
@@ -35,9 +35,7 @@
     const result = await this.#call(address, DELTA_METHOD, params);
     return result.andThen((value) => {
       const parsed = deltaResultSchema.safeParse(value);
-      return parsed.success
-        ? Ok(parsed.data)
-        : Err(`invalid delta result: ${parsed.error.message}`);
+      return parsed.success ? Ok(parsed.data) : Err(`invalid result: ${parsed.error.message}`);
     });
   }
 
--- a/packages/entry/tests/peers/peer-exchange.test.ts
+++ b/packages/entry/tests/peers/peer-exchange.test.ts
@@ -103,7 +103,7 @@
 }
 
 describe('PeerExchange', () => {
-  it('treats all registered hosts as serving except those that a relay lists as absent', async () => {
+  it('treats registered hosts as serving unless a relay lists them as absent', async () => {
     const { peers, exchange } = await makeExchange();
     expect(peers.isServing(makeHostRecord({ name: 'host-1' }))).toBe(false);
     exchange.handleDatagram(fleetText());
@@ -199,14 +199,14 @@
     expect(viewExchange.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBeUndefined();
   });
 
-  it('includes the age of the store’s last response to this host in delta results', async () => {
+  it('includes the age of the store’s last response in delta results', async () => {
     const { clock, store, viewExchange } = await makeExchange();
     store.answeredAt = 900;
     await clock.advance(50);
     expect(viewExchange.deltaFor({ afterRevision: 0 }).answeredAgeMilliseconds).toBe(150);
   });
 
-  it('returns only changes that the caller lacks, or a snapshot if these are not known', async () => {
+  it('returns the changes that the caller lacks, or else a snapshot', async () => {
     const { view, viewExchange } = await makeExchange();
     view.apply({ afterRevision: 5, revision: 6, changes: [targetChange(6, { id: 'new' })] });
     expect(viewExchange.deltaFor({ afterRevision: 5 })).toMatchObject({
--- a/packages/entry/tests/peers/peer-table.test.ts
+++ b/packages/entry/tests/peers/peer-table.test.ts
@@ -62,16 +62,13 @@
   it.each([
     ['first', 'second'],
     ['second', 'second'],
-  ])(
-    'accepts another incarnation from others only if it is registered: known %s',
-    (known, expected) => {
-      const { table } = makeTable('second');
-      table.update(makeStatus({ incarnation: known, sequence: 9 }), 'itself');
-      const other = known === 'first' ? 'second' : 'first';
-      table.update(makeStatus({ incarnation: other, sequence: 50 }), 'another');
-      expect(table.get('host-1')?.incarnation).toBe(expected);
-    },
-  );
+  ])('accepts another incarnation from others only if registered: known %s', (known, expected) => {
+    const { table } = makeTable('second');
+    table.update(makeStatus({ incarnation: known, sequence: 9 }), 'itself');
+    const other = known === 'first' ? 'second' : 'first';
+    table.update(makeStatus({ incarnation: other, sequence: 50 }), 'another');
+    expect(table.get('host-1')?.incarnation).toBe(expected);
+  });
 
   it.each([
     ['the same incarnation', {}, true],
