--- a/packages/entry/src/fleet/compare-records.ts
+++ b/packages/entry/src/fleet/compare-records.ts
@@ -2,12 +2,12 @@
 import type { TargetRecord } from '@ferrylock/routing';
 import type { FleetRecord } from './fleet-record.js';
 
-/** Whether one of two records of a key was written later, by what stands in them; undefined where nothing there tells. */
+/** Order of two records of one key; undefined if their contents do not determine it. */
 export type RecordOrder = 'newer' | 'older' | undefined;
 
 /**
- * Orders two records of a key by their own numbers, which those who write them go on counting whatever becomes of the
- * store: the version of a configuration, the start of a target and the sequence in it.
+ * Orders two records of a key by the numbers that their writers assign, which a restore of the store
+ * does not reset: the version of a configuration, the incarnation and the sequence of a target.
  */
 export function compareRecords(one: FleetRecord, other: FleetRecord): RecordOrder {
   if (one.kind === 'configuration' && other.kind === 'configuration') {
@@ -20,9 +20,9 @@
 }
 
 function compareTargets(one: TargetRecord, other: TargetRecord): RecordOrder {
-  const start = compareIncarnations(one, other);
-  if (start !== 'same') {
-    return start === 'later' ? 'newer' : 'older';
+  const incarnation = compareIncarnations(one, other);
+  if (incarnation !== 'same') {
+    return incarnation === 'later' ? 'newer' : 'older';
   }
   return one.sequence === undefined || other.sequence === undefined
     ? undefined
--- a/packages/entry/src/fleet/fleet-delta.ts
+++ b/packages/entry/src/fleet/fleet-delta.ts
@@ -1,14 +1,14 @@
 import type { FleetChange } from './fleet-record.js';
 
-/** Changes that lead from one position to another. */
+/** Changes between two store positions. */
 export interface FleetDelta {
   readonly afterEpoch?: number | undefined;
   readonly afterRevision: number;
   readonly epoch?: number | undefined;
   readonly revision: number;
-  /** Revision of the newest change that whoever tells it knows, where that may be none of these. */
+  /** Revision of the newest change that the sender knows; it may not be among `changes`. */
   readonly lastChange?: number | undefined;
   readonly changes: readonly FleetChange[];
-  /** What is known beyond the store's present life. */
+  /** Records of previous epochs that the sender retains. */
   readonly kept?: readonly FleetChange[] | undefined;
 }
--- a/packages/entry/src/fleet/fleet-record.ts
+++ b/packages/entry/src/fleet/fleet-record.ts
@@ -2,24 +2,24 @@
 import { z } from 'zod';
 import { suspectRecordSchema } from './suspect-record.js';
 
-/** One start of an entry host: where it can be reached and what it can carry. */
+/** Registration of one incarnation of an entry host. */
 export const entryHostRecordSchema = z.object({
   name: z.string().min(1),
-  /** Names this start of its process. */
+  /** Identifies one run of the process. */
   incarnation: z.string().min(1),
   failureDomain: z.string().min(1),
   region: z.string().min(1),
-  /** IP number and port for callers' requests. */
+  /** IP address and port for callers' requests. */
   trafficAddress: z.string().min(1),
-  /** IP number and port for JSON-RPC calls of other entry hosts. */
+  /** IP address and port for JSON-RPC calls of other entry hosts. */
   controlAddress: z.string().min(1),
-  /** IP number and port for datagrams of other entry hosts. */
+  /** IP address and port for datagrams of other entry hosts. */
   reportAddress: z.string().min(1),
-  /** What it can carry, in cores; callers are spread in proportion. */
+  /** Capacity in cores; callers are distributed in proportion to it. */
   capacity: z.number().positive(),
 });
 
-/** What the store holds under one key, decoded. */
+/** Decoded value of one key of the store. */
 export const fleetRecordSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('configuration'), configuration: routeConfigurationSchema }),
   z.object({ kind: z.literal('evacuation'), failureDomain: z.string().min(1) }),
@@ -28,20 +28,17 @@
   z.object({ kind: z.literal('suspect'), suspect: suspectRecordSchema }),
 ]);
 
-/** A key's latest change; one without a record says that the key is gone. */
+/** Latest change of a key; a change without a record is a deletion. */
 export const fleetChangeSchema = z.object({
   key: z.string(),
-  /** The life of the store that the revision belongs to; absent, as 0, before the store tells of any return. */
+  /** Epoch of the store that the revision belongs to; absent means 0. */
   epoch: z.number().int().nonnegative().optional(),
-  /** The store's revision that made the change. */
+  /** Revision of the store at which the change was made. */
   revision: z.number().int(),
   record: fleetRecordSchema.optional(),
-  /** Whether there is a value that cannot be read, as another program writes it. Such a value names nothing. */
+  /** Whether the key has a value that cannot be decoded; it is treated as absent. */
   isUnreadable: z.boolean().optional(),
-  /**
-   * Whether it was found in a listing after the store had come back from a copy. It may be of the copy then, and older
-   * than what was known.
-   */
+  /** Whether it comes from a listing after a restore, and so may be older than what was known. */
   isListed: z.boolean().optional(),
 });
 
--- a/packages/entry/src/fleet/fleet-store.ts
+++ b/packages/entry/src/fleet/fleet-store.ts
@@ -3,74 +3,78 @@
 import type { EntryHostRecord, FleetChange } from './fleet-record.js';
 
 /**
- * A call to the store that brought no result. `not-done`: it had no effect. `unknown`: it may have
- * had one, or may yet. `history-lost`: the changes asked for are no longer kept. `lease-over`: the
- * lease has ended.
+ * A failed call to the store. `not-done`: it had no effect. `unknown`: it may have or may still take
+ * effect. `history-lost`: the requested changes have been compacted. `lease-over`: the lease has
+ * expired.
  */
 export interface FleetStoreFailure {
   readonly kind: 'not-done' | 'unknown' | 'history-lost' | 'lease-over';
   readonly message: string;
-  /** Which of its lives the store answered in; absent where it does not tell, or did not answer. */
+  /** Epoch that the store reported; absent if it reported none or did not respond. */
   readonly epoch?: number | undefined;
 }
 
-/** All that the store holds, or what has changed in it, up to a revision. */
+/** A listing of the store, or its changes, up to a revision. */
 export interface FleetChanges {
-  /** How often the store has come back from a copy of itself, with revisions of former times; absent where it does not tell. */
+  /** Epoch as the store reports it: its number of restores; absent if it reports none. */
   readonly epoch?: number | undefined;
   readonly changes: readonly FleetChange[];
   readonly revision: number;
 }
 
 /**
- * A registration that lasts only while it is renewed. Its number is of one life of the store: after a return from a copy it may be
- * another host's.
+ * A registration that expires unless it is renewed. Its id is valid in one epoch of the store: after
+ * a restore it may belong to another host.
  */
 export interface HostLease {
   readonly id: number;
   readonly milliseconds: number;
-  /** What is recorded under it, and the revision that it was written at. */
+  /** Key that is bound to the lease. */
   readonly key: string;
+  /** Revision at which the key was written. */
   readonly revision: number;
-  /** How often the store had come back, as it told with the last answer about the lease. */
+  /** Epoch that the store reported in its last response about the lease. */
   readonly epoch?: number | undefined;
 }
 
-/** What a write depends on and how long what it writes lasts. */
+/** Precondition and lease of a write. */
 export interface SuspectWrite {
-  /** Revision of the record that it replaces; 0 where there is to be none. The write is refused where it is another. */
+  /** Revision that the key must be at, or 0 if it must not exist. */
   readonly revision: number;
-  /** How often the store had come back from a copy when it was at this revision; absent where that does not matter. */
+  /** Reported epoch that the revision belongs to; absent if it is not checked. */
   readonly epoch?: number;
   readonly leaseMilliseconds: number;
 }
 
-/** The platform's store, as much of it as an entry host uses. */
+/** Operations of the platform's store that an entry host uses. */
 export interface FleetStore {
-  /** Everything that it holds. Changes after the revision may or may not be in it. */
+  /** Lists all keys. The listing may include changes after its revision. */
   list(): Promise<Result<FleetChanges, FleetStoreFailure>>;
-  /** Changes after a revision, as soon as there are any, or none after the wait. */
+  /** Waits for changes after a revision; resolves without changes after the timeout. */
   waitForChanges(
     afterRevision: number,
     waitMilliseconds: number,
   ): Promise<Result<FleetChanges, FleetStoreFailure>>;
-  /** Makes an entry host known for as long as the lease lasts. */
+  /** Registers an entry host under a new lease. */
   register(
     host: EntryHostRecord,
     leaseMilliseconds: number,
   ): Promise<Result<HostLease, FleetStoreFailure>>;
-  /** @returns the lease, with the life of the store that renewed it */
+  /** @returns the lease with the epoch in which it was renewed */
   renew(lease: HostLease): Promise<Result<HostLease, FleetStoreFailure>>;
-  /** The lease as the store has it now, or undefined where it does not hold this start of the host under it. */
+  /** Looks up the lease; undefined if this incarnation of the host is not registered under it. */
   findLease(
     host: EntryHostRecord,
     lease: HostLease,
   ): Promise<Result<HostLease | undefined, FleetStoreFailure>>;
-  /** Writes about a request under which targets ended, if nobody else has meanwhile. */
+  /** Writes a suspect record, unless another host has written it in the meantime. */
   writeSuspect(
     suspect: SuspectRecord,
     write: SuspectWrite,
   ): Promise<Result<void, FleetStoreFailure>>;
-  /** Takes the registration away, if it stands as it was written. The lease, which may be another's by now, runs out. */
+  /**
+   * Deletes the registration if it is unchanged. The lease is left to expire, as it may belong to
+   * another host by now.
+   */
   release(lease: HostLease): Promise<Result<void, FleetStoreFailure>>;
 }
--- a/packages/entry/src/fleet/fleet-view.ts
+++ b/packages/entry/src/fleet/fleet-view.ts
@@ -11,27 +11,26 @@
 export type FleetListener = (changes: readonly FleetChange[]) => void;
 
 /**
- * What this entry host believes that the store holds: every key's latest change, up to a position. It never goes back, whatever order news
- * comes in and from whom.
+ * Replica of the store's content on this entry host: the latest change of every key up to a position.
+ * It only moves forward, whatever the order and the source of updates.
  */
 export class FleetView {
-  /** Every change up to this position is known. */
+  /** Position up to which every change is known. */
   position: StorePosition = NO_POSITION;
   /**
-   * The newest change that is known. Unlike {@link position} it stands still while the store counts on without a
-   * change, so that hosts can compare it.
+   * Position of the newest known change. Unlike {@link position}, it does not advance without a
+   * change, so hosts can compare it.
    */
   lastChange: StorePosition = NO_POSITION;
-  /** When the store is known to have held nothing newer, in monotonic milliseconds. */
+  /** Monotonic time at which the view was last known to be up to date, in milliseconds. */
   confirmedAt = -Infinity;
   readonly #entries: ViewEntries;
   readonly #history = new ViewHistory();
-  readonly #listeners: FleetListener[] = [];
-  readonly #returnListeners: ((returned: StoreRestore) => void)[] = [];
+  readonly #changeListeners: FleetListener[] = [];
+  readonly #restoreListeners: ((restore: StoreRestore) => void)[] = [];
 
-  /** @param leftOut - mechanisms to do without, to compare with */
-  constructor(leftOut: DisabledMechanisms = NO_DISABLED_MECHANISMS) {
-    this.#entries = new ViewEntries(!leftOut.has('kept-records'));
+  constructor(disabledMechanisms: DisabledMechanisms = NO_DISABLED_MECHANISMS) {
+    this.#entries = new ViewEntries(!disabledMechanisms.has('kept-records'));
   }
 
   get revision(): number {
@@ -46,153 +45,157 @@
     return this.revision === 0;
   }
 
-  /** Everything held, without what is gone. */
+  /** Latest changes of all keys that are not deleted. */
   get entries(): FleetChange[] {
     return this.#entries.present;
   }
 
-  /** What is known beyond what the store holds since it came back from a copy. */
+  /** Records that are newer than what the restored store holds. */
   get retained(): FleetChange[] {
     return this.#entries.retained;
   }
 
-  /** Names what is kept, for hosts to see whether they keep the same; undefined where nothing is. */
+  /** Digest of the retained records, for comparison between hosts; undefined if there are none. */
   get retainedDigest(): string | undefined {
     return this.#entries.retainedDigest;
   }
 
-  /** Whether all that is known is what the store holds, so that there is nothing to {@link reconcile}. */
+  /** Whether there is nothing to {@link reconcile}. */
   get isReconciled(): boolean {
     return this.#entries.isReconciled;
   }
 
-  /** Everything of a kind; the same array while nothing of the kind changes. */
+  /** All records of a kind; the same array while none of them changes. */
   records<Kind extends FleetRecord['kind']>(
     kind: Kind,
   ): readonly Extract<FleetRecord, { kind: Kind }>[] {
     return this.#entries.records(kind);
   }
 
-  /** Revision of a key in the store's present life, as far as is known; 0 where it holds none. */
+  /** Known revision of a key in the current epoch of the store; 0 if the store does not hold it. */
   storedRevision(key: string): number {
     return this.#entries.storedRevision(key);
   }
 
-  /** Whether more is known of a key than the store holds. */
+  /** Whether the record of a key is newer than what the store holds. */
   isRetained(key: string): boolean {
     return this.#entries.isRetained(key);
   }
 
-  /** Calls back after each step forward, with the changes that were new. */
+  /** Registers a listener for changes that were applied. */
   onChanges(listener: FleetListener): void {
-    this.#listeners.push(listener);
+    this.#changeListeners.push(listener);
   }
 
-  /** Calls back when it is learned that the store came back from a copy, before the changes that this brings. */
-  onRestore(listener: (returned: StoreRestore) => void): void {
-    this.#returnListeners.push(listener);
+  /** Registers a listener for restores of the store, called before those for the changes. */
+  onRestore(listener: (restore: StoreRestore) => void): void {
+    this.#restoreListeners.push(listener);
   }
 
-  /** The store, or who heard from it, had no newer change than this one at this time. */
+  /** Records that this was the newest change of the store at a point in time. */
   confirm(lastChange: StorePosition, at: number): void {
-    const isOfThisLife = epochOf(lastChange) === epochOf(this.lastChange);
-    if (isOfThisLife && !isAfter(this.lastChange, lastChange)) {
+    const isCurrentEpoch = epochOf(lastChange) === epochOf(this.lastChange);
+    if (isCurrentEpoch && !isAfter(this.lastChange, lastChange)) {
       this.confirmedAt = Math.max(this.confirmedAt, at);
     }
   }
 
-  /** Takes changes on. Those after a position that is not reached yet are refused with false. */
+  /**
+   * Applies changes.
+   *
+   * @returns false if the delta starts after the position of the view
+   */
   apply(delta: FleetDelta): boolean {
     const { afterEpoch, afterRevision, epoch, revision, lastChange = 0 } = delta;
     if (isAfter({ epoch: afterEpoch, revision: afterRevision }, this.position)) {
       return false;
     }
-    const former = this.position;
+    const previous = this.position;
     const upTo = positionOf({ epoch, revision });
-    const isReturn = epochOf(upTo) > this.epoch;
-    const news = this.#takeByLives(delta, upTo);
-    if (isReturn) {
+    const isRestore = epochOf(upTo) > this.epoch;
+    const applied = this.#applyByEpoch(delta, upTo);
+    if (isRestore) {
       this.#history.beginEpoch(upTo);
     }
     this.#advance(upTo, { epoch: epochOf(upTo), revision: lastChange });
-    this.#tell(former, news);
+    this.#notifyListeners(previous, applied);
     return true;
   }
 
   /**
-   * Takes a whole listing on: keys that it lacks are gone, unless they are newer than it.
+   * Applies a full listing: keys that it lacks are deleted unless they are newer.
    *
-   * @returns whether it was; an older one brings only what is newer by its own numbers
+   * @returns false if the listing is outdated; only records with newer version numbers are applied
    */
   replace(position: StorePosition, entries: readonly FleetChange[]): boolean {
-    const former = this.position;
-    if (isAfter(former, position)) {
+    const previous = this.position;
+    if (isAfter(previous, position)) {
       const newer = entries.filter((change) => this.#entries.hasNewerVersion(change));
-      this.#tell(former, this.#take(newer));
+      this.#notifyListeners(previous, this.#applyNewer(newer));
       return false;
     }
-    const isReturn = !this.isEmpty && epochOf(position) > this.epoch;
-    const news = isReturn
-      ? this.#takeReturn(position, entries)
-      : this.#takeListing(position, entries);
+    const isRestore = !this.isEmpty && epochOf(position) > this.epoch;
+    const applied = isRestore
+      ? this.#replaceAfterRestore(position, entries)
+      : this.#replaceWithinEpoch(position, entries);
     this.#advance(positionOf(position), { epoch: epochOf(position), revision: 0 });
-    this.#tell(former, news);
+    this.#notifyListeners(previous, applied);
     return true;
   }
 
-  /** What leads from a position to the present one, or undefined where that is no longer kept. */
+  /** Changes after a position, or undefined if the history does not cover it. */
   deltaSince(position: StorePosition): FleetDelta | undefined {
     const changes = this.#history.since(position, this.epoch);
     return changes && { ...this.#deltaHead(position), changes, kept: this.retained };
   }
 
-  /** Everything, for who knows nothing that it could be told by. */
+  /** Full state, for hosts whose position the history does not cover. */
   snapshot(): FleetDelta {
-    const words = this.#entries.shadowed.map((change) => ({ ...change, isListed: true }));
-    return { ...this.#deltaHead(NO_POSITION), changes: [...this.entries, ...words] };
+    const shadowed = this.#entries.shadowed.map((change) => ({ ...change, isListed: true }));
+    return { ...this.#deltaHead(NO_POSITION), changes: [...this.entries, ...shadowed] };
   }
 
-  /** Ends the time after the store's return in which others write again what it had lost. */
+  /** Adopts the content of the store after the grace period for rewriting lost records. */
   reconcile(): void {
-    this.#notify(this.#entries.reconcile());
+    this.#notifyChanges(this.#entries.reconcile());
   }
 
-  /** Each life of the store in turn: what is new of one, then what the next differs in. Of one that is over, only what is newer by itself. */
-  #takeByLives({ changes, kept = [] }: FleetDelta, upTo: StorePosition): FleetChange[] {
+  /** Applies the changes epoch by epoch; of a past epoch only records with newer version numbers. */
+  #applyByEpoch({ changes, kept = [] }: FleetDelta, upTo: StorePosition): FleetChange[] {
     if (this.isEmpty) {
       this.#entries.beginEpoch(epochOf(upTo), new Set());
     }
     if (this.isEmpty || epochOf(upTo) === this.epoch) {
-      return this.#take([...changes, ...kept]);
+      return this.#applyNewer([...changes, ...kept]);
     }
     if (epochOf(upTo) < this.epoch) {
-      return this.#take(changes.filter((change) => this.#entries.hasNewerVersion(change)));
+      return this.#applyNewer(changes.filter((change) => this.#entries.hasNewerVersion(change)));
     }
-    const lives = new Set([...changes.map(epochOf), epochOf(upTo)]);
-    const news = [...lives]
+    const epochs = new Set([...changes.map(epochOf), epochOf(upTo)]);
+    const applied = [...epochs]
       .sort((one, other) => one - other)
-      .flatMap((life) => {
-        const ofLife = changes.filter((change) => epochOf(change) === life);
-        if (life > this.epoch) {
-          this.#beginLife(life, ofLife);
+      .flatMap((epoch) => {
+        const ofEpoch = changes.filter((change) => epochOf(change) === epoch);
+        if (epoch > this.epoch) {
+          this.#beginEpoch(epoch, ofEpoch);
         }
-        return this.#take(ofLife);
+        return this.#applyNewer(ofEpoch);
       });
-    return [...news, ...this.#take(kept)];
+    return [...applied, ...this.#applyNewer(kept)];
   }
 
-  #beginLife(epoch: number, changes: readonly FleetChange[]): void {
+  #beginEpoch(epoch: number, changes: readonly FleetChange[]): void {
     this.#history.endEpoch(this.position);
     this.#entries.beginEpoch(epoch, new Set(changes.map(({ key }) => key)));
     this.position = { epoch, revision: 0 };
     this.lastChange = { epoch, revision: 0 };
   }
 
-  /** Takes the first listing of the store's next life on, or what another host knows of it. */
-  #takeReturn(position: StorePosition, entries: readonly FleetChange[]): FleetChange[] {
+  /** Applies the first listing of a new epoch, or the snapshot of another host. */
+  #replaceAfterRestore(position: StorePosition, entries: readonly FleetChange[]): FleetChange[] {
     const { epoch, revision } = positionOf(position);
     const listed = entries.filter((change) => epochOf(change) === epoch);
-    const keptElsewhere = entries.filter((change) => epochOf(change) < epoch);
+    const retainedByPeer = entries.filter((change) => epochOf(change) < epoch);
     const keys = new Set(listed.map(({ key }) => key));
     const changed = listed
       .filter((change) => !this.#entries.isUnchanged(change))
@@ -202,50 +205,52 @@
       .filter((key) => !keys.has(key))
       .map((key) => ({ key, epoch, revision, isListed: true }));
     const difference = [...changed, ...missing].sort((one, other) => one.revision - other.revision);
-    this.#beginLife(epoch, difference);
+    this.#beginEpoch(epoch, difference);
     this.#history.beginEpoch(position);
     this.lastChange = positionOf(position);
-    return [...this.#take(difference), ...this.#take(keptElsewhere)];
+    return [...this.#applyNewer(difference), ...this.#applyNewer(retainedByPeer)];
   }
 
-  /** Takes a listing of the life on that is known already. */
-  #takeListing(position: StorePosition, entries: readonly FleetChange[]): FleetChange[] {
+  /** Applies a listing of the current epoch. */
+  #replaceWithinEpoch(position: StorePosition, entries: readonly FleetChange[]): FleetChange[] {
     const { epoch, revision } = positionOf(position);
     if (this.isEmpty) {
       this.#entries.beginEpoch(epoch, new Set());
     }
-    const ofThisLife = entries.filter((change) => epochOf(change) === epoch);
-    const listed = new Set(ofThisLife.map(({ key }) => key));
+    const ofThisEpoch = entries.filter((change) => epochOf(change) === epoch);
+    const listed = new Set(ofThisEpoch.map(({ key }) => key));
     this.#entries.dropShadowed(listed);
-    const gone = this.entries
+    const deleted = this.entries
       .filter((change) => !this.#entries.isFromPreviousEpoch(change))
       .filter(({ record }) => record?.kind !== 'configuration')
       .filter(({ key, revision: changed }) => !listed.has(key) && changed <= revision)
       .map(({ key }) => ({ key, epoch, revision }));
-    const news = this.#take(entries);
-    for (const change of gone) {
+    const applied = this.#applyNewer(entries);
+    for (const change of deleted) {
       this.#put(change);
     }
     this.#history.reset(positionOf(position));
-    return [...news, ...gone];
+    return [...applied, ...deleted];
   }
 
-  /** Takes over those changes that are news, one after the other. */
-  #take(changes: readonly FleetChange[]): FleetChange[] {
-    const news: FleetChange[] = [];
+  /** Applies those changes that are newer than the known ones. */
+  #applyNewer(changes: readonly FleetChange[]): FleetChange[] {
+    const applied: FleetChange[] = [];
     for (const change of changes) {
-      const isNews = this.#entries.isNewer(change);
-      if (isNews) {
+      const isNewer = this.#entries.isNewer(change);
+      if (isNewer) {
         this.#put(change);
-        news.push(change);
+        applied.push(change);
       }
-      // Others may know less of the key, and are to hear what the store holds. What is of a former life they hear as kept.
-      const isTold = isNews ? epochOf(change) === this.epoch : this.#entries.recordShadowed(change);
-      if (isTold) {
+      // Peers may not know what the store holds; changes of previous epochs reach them as retained.
+      const isShared = isNewer
+        ? epochOf(change) === this.epoch
+        : this.#entries.recordShadowed(change);
+      if (isShared) {
         this.#history.add([change]);
       }
     }
-    return news;
+    return applied;
   }
 
   #put(change: FleetChange): void {
@@ -270,21 +275,21 @@
     };
   }
 
-  #tell(former: StorePosition, news: readonly FleetChange[]): void {
-    if (this.epoch > epochOf(former) && former.revision > 0) {
-      const kept = this.retained.map(({ key }) => key);
+  #notifyListeners(previous: StorePosition, changes: readonly FleetChange[]): void {
+    if (this.epoch > epochOf(previous) && previous.revision > 0) {
+      const retained = this.retained.map(({ key }) => key);
       const { missing } = this.#entries;
-      for (const listener of this.#returnListeners) {
-        listener({ previous: former, position: this.position, retained: kept, missing });
+      for (const listener of this.#restoreListeners) {
+        listener({ previous, position: this.position, retained, missing });
       }
     }
-    this.#notify(news);
+    this.#notifyChanges(changes);
   }
 
-  #notify(news: readonly FleetChange[]): void {
-    if (news.length > 0) {
-      for (const listener of this.#listeners) {
-        listener(news);
+  #notifyChanges(changes: readonly FleetChange[]): void {
+    if (changes.length > 0) {
+      for (const listener of this.#changeListeners) {
+        listener(changes);
       }
     }
   }
--- a/packages/entry/src/fleet/host-registration.ts
+++ b/packages/entry/src/fleet/host-registration.ts
@@ -4,17 +4,17 @@
 import type { EntryHostRecord } from './fleet-record.js';
 import type { FleetStore, HostLease } from './fleet-store.js';
 
-/** A registration outlasts its host by this much; who is alive is known from reports sooner. */
+/** How long a registration outlives its host; peers detect the failure sooner by its reports. */
 const LEASE_MILLISECONDS = 12_000;
-/** Renewals in each lease, so that two may fail. */
+/** Allows two consecutive renewals to fail. */
 const RENEWALS_PER_LEASE = 3;
 const RETRY_MILLISECONDS = 700;
-/** Longest that a host of a small fleet waits after the store's return: all are to be back within two seconds. */
+/** Upper bound in a small fleet, where all hosts must be registered again within two seconds. */
 const MIN_RESTORE_SPREAD_MILLISECONDS = 1_200;
-/** What each host of a large one adds, so that their calls stay within what a store bears. */
+/** Bounds the rate of lookups at the store in a large fleet. */
 const RESTORE_SPREAD_PER_HOST_MILLISECONDS = 6;
 
-/** Longest that hosts take after the store's return until they look for their records, in milliseconds. */
+/** Time over which hosts spread the lookups of their registrations after a restore of the store. */
 export function restoreSpreadMilliseconds(hosts: number): number {
   return Math.max(MIN_RESTORE_SPREAD_MILLISECONDS, hosts * RESTORE_SPREAD_PER_HOST_MILLISECONDS);
 }
@@ -25,18 +25,18 @@
   readonly events: EventLog;
   readonly store: FleetStore;
   readonly host: EntryHostRecord;
-  /** How many entry hosts there are. */
+  /** Number of entry hosts. */
   readonly hosts: () => number;
 }
 
-/** Keeps this entry host's record in the store, by which others find it when they start. */
+/** Maintains this entry host's registration in the store, by which other hosts discover it. */
 export class HostRegistration {
   readonly #options: HostRegistrationOptions;
   readonly #tasks: BackgroundTasks;
   #lease: HostLease | undefined;
-  /** Whether the lease may be of a former life of the store. */
+  /** Whether the lease may belong to a previous epoch of the store. */
   #mustVerifyLease = false;
-  #pause = new AbortController();
+  #sleepAbort = new AbortController();
 
   constructor(options: HostRegistrationOptions) {
     this.#options = options;
@@ -47,13 +47,13 @@
     this.#tasks.start('host registration', (signal) => this.#run(signal));
   }
 
-  /** The store came back from a copy: what it holds of this host is looked for before anything else is done with it. */
+  /** Has the lease verified before its next use, as the store was restored from a snapshot. */
   recordRestore(): void {
     this.#mustVerifyLease = true;
-    this.#pause.abort();
+    this.#sleepAbort.abort();
   }
 
-  /** Takes the record away, if the store answers. */
+  /** Deletes the registration if the store is available. */
   async stop(): Promise<void> {
     await this.#endTasks();
     if (this.#lease !== undefined) {
@@ -61,23 +61,23 @@
     }
   }
 
-  /** Renews it no longer; it lasts until its lease ends. */
+  /** Stops renewing; the registration expires with its lease. */
   async close(): Promise<void> {
     await this.#endTasks();
   }
 
   async #endTasks(): Promise<void> {
     const ended = this.#tasks.stop();
-    this.#pause.abort();
+    this.#sleepAbort.abort();
     await ended;
   }
 
   async #run(signal: AbortSignal): Promise<void> {
     const { random } = this.#options;
     while (!signal.aborted) {
-      const isKept = await this.#maintain(signal);
+      const isRegistered = await this.#maintain(signal);
       if (!this.#mustVerifyLease) {
-        const pause = isKept ? LEASE_MILLISECONDS / RENEWALS_PER_LEASE : RETRY_MILLISECONDS;
+        const pause = isRegistered ? LEASE_MILLISECONDS / RENEWALS_PER_LEASE : RETRY_MILLISECONDS;
         await this.#sleep(jittered(random, pause), signal);
       }
     }
@@ -87,7 +87,9 @@
     if (this.#lease === undefined) {
       return this.#register();
     }
-    return this.#mustVerifyLease ? this.#findLease(this.#lease, signal) : this.#renew(this.#lease);
+    return this.#mustVerifyLease
+      ? this.#verifyLease(this.#lease, signal)
+      : this.#renew(this.#lease);
   }
 
   async #register(): Promise<boolean> {
@@ -112,8 +114,8 @@
     return true;
   }
 
-  /** A record that came back with the copy keeps its lease; only where there is none is it written again. */
-  async #findLease(lease: HostLease, signal: AbortSignal): Promise<boolean> {
+  /** Keeps a lease that the restored store still holds; registers the host again otherwise. */
+  async #verifyLease(lease: HostLease, signal: AbortSignal): Promise<boolean> {
     const { random, store, host, hosts } = this.#options;
     await this.#sleep(restoreSpreadMilliseconds(hosts()) * random.next(), signal);
     if (signal.aborted) {
@@ -130,12 +132,12 @@
     return found.value === undefined ? this.#register() : true;
   }
 
-  /** Sleeps until the time is over, the store comes back, or all ends. */
+  /** Sleeps until the time has passed, the store is restored or the tasks stop. */
   async #sleep(milliseconds: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted) {
       return;
     }
-    this.#pause = new AbortController();
-    await this.#options.clock.sleep(milliseconds, this.#pause.signal);
+    this.#sleepAbort = new AbortController();
+    await this.#options.clock.sleep(milliseconds, this.#sleepAbort.signal);
   }
 }
--- a/packages/entry/src/fleet/large-hosts.ts
+++ b/packages/entry/src/fleet/large-hosts.ts
@@ -1,13 +1,13 @@
 import type { EntryHostRecord } from './fleet-record.js';
 
 /**
- * A host that carries less than this part of what the largest does is a small one. Callers spread
- * evenly over the hosts that they are told: beside large ones, small ones would be full first.
+ * Capacity relative to the largest host below which a host is small. Callers distribute requests
+ * evenly over the hosts in a directory answer, so small hosts would be overloaded first.
  */
-const SMALL_SHARE = 0.5;
+const SMALL_CAPACITY_RATIO = 0.5;
 
-/** The hosts that carry about as much as the largest of them; all where they are alike. */
+/** Hosts whose capacity is similar to that of the largest. */
 export function largeHosts<T>(hosts: readonly T[], recordOf: (host: T) => EntryHostRecord): T[] {
   const largest = Math.max(0, ...hosts.map((host) => recordOf(host).capacity));
-  return hosts.filter((host) => recordOf(host).capacity >= SMALL_SHARE * largest);
+  return hosts.filter((host) => recordOf(host).capacity >= SMALL_CAPACITY_RATIO * largest);
 }
--- a/packages/entry/src/fleet/store-health.ts
+++ b/packages/entry/src/fleet/store-health.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '@ferrylock/utils';
 import type { EventLog } from '../events.js';
 
-/** Whether the store answers this entry host, and since when. */
+/** Availability of the store as this entry host sees it. */
 export class StoreHealth {
-  /** When it last began to answer after a fault; infinite while it does not answer. */
+  /** When the store became available after an outage or restore; infinite while it is unavailable. */
   availableSince = -Infinity;
-  /** When the store last answered this host itself. */
+  /** When the store last responded to this host. */
   lastResponseAt = -Infinity;
-  #lostAt: number | undefined;
+  #unavailableSince: number | undefined;
 
   constructor(
     readonly clock: Clock,
@@ -15,32 +15,28 @@
   ) {}
 
   get isUnavailable(): boolean {
-    return this.#lostAt !== undefined;
+    return this.#unavailableSince !== undefined;
   }
 
-  /**
-   * The store answered this host.
-   *
-   * @param at - when it gave the answer
-   */
+  /** @param at - when the store responded to this host */
   recordSuccess(at: number): void {
     this.lastResponseAt = Math.max(this.lastResponseAt, at);
-    if (this.#lostAt !== undefined) {
-      this.#regain(this.#lostAt);
+    if (this.#unavailableSince !== undefined) {
+      this.#recordRecovery(this.#unavailableSince);
     }
   }
 
   /**
-   * Others were answered, the last of them at this time. A host that leaves the watching to others
-   * makes no call of its own by which it could notice.
+   * Records that the store responded to another host. A host that does not watch the store makes no
+   * calls of its own that would show that the store is available again.
    */
   recordConfirmation(confirmedAt: number): void {
-    if (this.#lostAt !== undefined && confirmedAt > this.#lostAt) {
-      this.#regain(this.#lostAt);
+    if (this.#unavailableSince !== undefined && confirmedAt > this.#unavailableSince) {
+      this.#recordRecovery(this.#unavailableSince);
     }
   }
 
-  /** The store came back from a copy; targets write again what it had lost of them. */
+  /** Records a restore of the store, after which targets rewrite their lost records. */
   recordRestore(): void {
     if (!this.isUnavailable) {
       this.availableSince = this.clock.now();
@@ -48,18 +44,21 @@
   }
 
   recordFailure(call: string, detail: string): void {
-    if (this.#lostAt !== undefined) {
+    if (this.#unavailableSince !== undefined) {
       return;
     }
-    this.#lostAt = this.clock.now();
+    this.#unavailableSince = this.clock.now();
     this.availableSince = Infinity;
     this.events.write({ event: 'store-lost', call, detail });
   }
 
-  #regain(lostAt: number): void {
+  #recordRecovery(unavailableSince: number): void {
     const now = this.clock.now();
-    this.events.write({ event: 'store-regained', lostMilliseconds: Math.round(now - lostAt) });
-    this.#lostAt = undefined;
+    this.events.write({
+      event: 'store-regained',
+      lostMilliseconds: Math.round(now - unavailableSince),
+    });
+    this.#unavailableSince = undefined;
     this.availableSince = now;
   }
 }
--- a/packages/entry/src/fleet/store-position.ts
+++ b/packages/entry/src/fleet/store-position.ts
@@ -1,25 +1,25 @@
 /**
- * How far the store has come: which of its lives, and the revision in it. A store that comes back from a copy of itself
- * counts its revisions from the copy's and gives numbers out again, so that a revision alone orders nothing beyond one life.
+ * A point in the history of the store. A restore from a snapshot sets the revision back and revisions
+ * are assigned again, so they only order changes of the same epoch.
  */
 export interface StorePosition {
-  /** Rises with each return from a copy, by {@link epochFromReported}; absent, as 0, before the store tells of any. */
+  /** Increases with each restore, see {@link epochFromReported}; absent means 0. */
   readonly epoch?: number | undefined;
   readonly revision: number;
 }
 
-/** Before anything is known. */
+/** Position of a host that knows nothing of the store. */
 export const NO_POSITION: StorePosition = { epoch: 0, revision: 0 };
 
-/** Returns that the store does not tell of, between two that it does. */
+/** Leaves room for restores that the store does not report. */
 const EPOCHS_PER_REPORTED_EPOCH = 1_000;
 
-/** The number that hosts go by for a number of returns that the store tells: it leaves room for those that it does not tell of. */
-export function epochFromReported(told: number): number {
-  return told * EPOCHS_PER_REPORTED_EPOCH;
+/** Converts the epoch that the store reports into the epoch of a {@link StorePosition}. */
+export function epochFromReported(reported: number): number {
+  return reported * EPOCHS_PER_REPORTED_EPOCH;
 }
 
-/** The returns that the store told of, as of an epoch. */
+/** Reverses {@link epochFromReported}. */
 export function reportedEpochOf(epoch: number): number {
   return Math.floor(epoch / EPOCHS_PER_REPORTED_EPOCH);
 }
@@ -37,7 +37,7 @@
   return isAfter(other, one) ? other : one;
 }
 
-/** A position without anything else that carries it. */
+/** Copies the position out of an object with other fields. */
 export function positionOf({ epoch = 0, revision }: StorePosition) {
   return { epoch, revision };
 }
--- a/packages/entry/src/fleet/store-progress.ts
+++ b/packages/entry/src/fleet/store-progress.ts
@@ -2,27 +2,27 @@
 import type { StorePosition } from './store-position.js';
 import { epochOf, epochFromReported, reportedEpochOf } from './store-position.js';
 
-/** How far the store has come by one of its answers. */
+/** Progress that the store reports in one response. */
 interface ReportedProgress {
-  /** How often it has come back from a copy; absent where it does not tell. */
+  /** Reported epoch; absent if the store reports none. */
   readonly epoch?: number | undefined;
   readonly revision?: number;
 }
 
-/** How far the store has come by its own answers to this host, beside what the host takes over of them. */
+/** Progress of the store by its responses to this host, whether or not they were applied. */
 export class StoreProgress {
-  /** How often it told that it has come back; 0 where it tells none. */
+  /** Highest epoch that the store reported; 0 if it reports none. */
   epoch = 0;
-  /** The revision that it told last. */
+  /** Revision that the store reported last. */
   revision = 0;
-  /** Listings that this host did not take over. */
+  /** Number of listings that were rejected as outdated. */
   refusedListings = 0;
-  #isRefusing = false;
-  #hasFallen = false;
+  #isRejecting = false;
+  #hasReportedDecrease = false;
 
   constructor(readonly events: EventLog) {}
 
-  /** @param knownRevision - up to which this host knows what the store held */
+  /** @param knownRevision - revision up to which this host knows the content of the store */
   record(
     { epoch = this.epoch, revision = this.revision }: ReportedProgress,
     knownRevision: number,
@@ -31,8 +31,8 @@
       const formerEpoch = this.epoch;
       this.events.write({ event: 'store-epoch', epoch, formerEpoch, revision, knownRevision });
     }
-    if (epoch < this.epoch && !this.#hasFallen) {
-      this.#hasFallen = true;
+    if (epoch < this.epoch && !this.#hasReportedDecrease) {
+      this.#hasReportedDecrease = true;
       const detail = `expected no smaller number than before: ${this.epoch}, then ${epoch}`;
       this.events.write({ event: 'store-header', header: 'epoch', detail });
     }
@@ -40,37 +40,40 @@
     this.revision = revision;
   }
 
-  recordListing(isTaken: boolean, knownRevision: number): void {
-    if (!isTaken) {
+  recordListing(isApplied: boolean, knownRevision: number): void {
+    if (!isApplied) {
       this.refusedListings++;
     }
-    if (!isTaken && !this.#isRefusing) {
+    if (!isApplied && !this.#isRejecting) {
       const { epoch, revision } = this;
       this.events.write({ event: 'listing-refused', epoch, revision, knownRevision });
     }
-    this.#isRefusing = !isTaken;
+    this.#isRejecting = !isApplied;
   }
 }
 
 /**
- * The life of the store that an answer is of. One that tells no return, or fewer than are known of, counts as of the known life.
+ * Epoch that a response belongs to. A response without an epoch, or with an older one, counts as of
+ * the known epoch.
  *
- * @param known - what was known when the store was asked
+ * @param known - position known when the request was sent
  */
-export function epochOfResponse(told: number | undefined, known: StorePosition): number {
+export function epochOfResponse(reported: number | undefined, known: StorePosition): number {
   const epoch = epochOf(known);
-  return told === undefined || told <= reportedEpochOf(epoch) ? epoch : epochFromReported(told);
+  return reported === undefined || reported <= reportedEpochOf(epoch)
+    ? epoch
+    : epochFromReported(reported);
 }
 
 /**
- * The life of the store that a listing is of. One that ends before what was known when it was asked for shows that the store
- * has come back from a copy, though it does not tell.
+ * Epoch that a listing belongs to. A listing that ends before the known position of its epoch reveals
+ * a restore that the store does not report.
  */
 export function epochOfListing(
-  told: ReportedProgress & { readonly revision: number },
+  reported: ReportedProgress & { readonly revision: number },
   known: StorePosition,
 ) {
-  const epoch = epochOfResponse(told.epoch, known);
-  const isBack = epoch === epochOf(known) && told.revision < known.revision;
-  return isBack ? epoch + 1 : epoch;
+  const epoch = epochOfResponse(reported.epoch, known);
+  const isRestored = epoch === epochOf(known) && reported.revision < known.revision;
+  return isRestored ? epoch + 1 : epoch;
 }
--- a/packages/entry/src/fleet/store-restore-controller.ts
+++ b/packages/entry/src/fleet/store-restore-controller.ts
@@ -10,13 +10,12 @@
 import type { StorePosition } from './store-position.js';
 import { epochOf } from './store-position.js';
 
-/** Hosts that one that starts asks what they know beyond the store. */
 const PEERS_QUERIED_AT_START = 2;
-/** Longest that it waits for them: several times the way between two regions and back. */
+/** Several round trips between two regions. */
 const QUERY_TIMEOUT_MILLISECONDS = 300;
 /**
- * After the store's return, beside the time in which hosts write themselves again: records of targets that no longer write go after
- * three heartbeats.
+ * Time for targets to rewrite their records after a restore, in addition to the time for hosts. The
+ * records of targets that no longer send heartbeats are deleted after three heartbeats.
  */
 const REWRITE_GRACE_MILLISECONDS = 5_000;
 
@@ -26,79 +25,81 @@
   readonly events: EventLog;
   readonly view: FleetView;
   readonly viewExchange: Pick<ViewExchange, 'ask' | 'take'>;
-  /** How many entry hosts there are. */
+  /** Number of entry hosts. */
   readonly hosts: () => number;
 }
 
-/** What one host does about a store that comes back from copies of itself, beside what its view keeps. */
+/** Recovers records that a restore of the store has lost, until they have been rewritten. */
 export class StoreRestoreController {
   readonly #options: StoreRestoreControllerOptions;
-  /** Since when others may write again what the store had lost; undefined where nothing is kept for that. */
-  #keptSince: number | undefined;
+  /** Start of the grace period for rewriting lost records; undefined if nothing is retained. */
+  #retainedSince: number | undefined;
 
   constructor(options: StoreRestoreControllerOptions) {
     this.#options = options;
-    options.view.onRestore((returned) => {
-      this.#take(returned);
+    options.view.onRestore((restore) => {
+      this.#recordRestore(restore);
     });
   }
 
   /**
-   * Others may know more than a store that came back from a copy: a host that starts asks some of them before it serves by
-   * what the store holds.
+   * Asks peers for records that a restored store has lost, before this host serves by its first
+   * listing.
+   *
+   * @returns a function that applies their responses
    */
   async queryPeers(position: StorePosition, listed: readonly FleetChange[]): Promise<() => void> {
-    const { settings, clock, viewExchange: changes } = this.#options;
+    const { settings, clock, viewExchange } = this.#options;
     const others = listed
       .flatMap(({ record }) => (record?.kind === 'entryHost' ? [record.host] : []))
       .filter(({ name }) => name !== settings.name);
     const near = others.filter(({ region }) => region === settings.region);
     const ranked = rendezvousRank(settings.name, near.length > 0 ? near : others, nameOf);
-    const asked = ranked.slice(0, PEERS_QUERIED_AT_START);
-    const askedAt = clock.now();
-    const takes: (() => void)[] = [];
-    const answers = asked.map(async ({ controlAddress }) => {
-      const answer = await changes.ask(controlAddress, position);
-      if (answer !== undefined) {
-        takes.push(() => {
-          changes.take(controlAddress, answer, askedAt);
+    const queried = ranked.slice(0, PEERS_QUERIED_AT_START);
+    const sentAt = clock.now();
+    const updates: (() => void)[] = [];
+    const responses = queried.map(async ({ controlAddress }) => {
+      const response = await viewExchange.ask(controlAddress, position);
+      if (response !== undefined) {
+        updates.push(() => {
+          viewExchange.take(controlAddress, response, sentAt);
         });
       }
     });
-    await Promise.race([Promise.all(answers), clock.sleep(QUERY_TIMEOUT_MILLISECONDS)]);
+    await Promise.race([Promise.all(responses), clock.sleep(QUERY_TIMEOUT_MILLISECONDS)]);
     return () => {
-      takes.forEach((take) => {
-        take();
+      updates.forEach((update) => {
+        update();
       });
     };
   }
 
-  /** To be called a few times a second. Once all that write to the store have had time to write again, what it lacks is gone; also what others told later that they keep. */
+  /** Reconciles the view with the store after the grace period; called a few times a second. */
   sweep(): void {
     const { clock, view, hosts } = this.#options;
     if (view.isReconciled) {
-      this.#keptSince = undefined;
+      this.#retainedSince = undefined;
       return;
     }
     const now = clock.now();
-    this.#keptSince ??= now;
+    this.#retainedSince ??= now;
     const spread = restoreSpreadMilliseconds(hosts());
-    if (now - this.#keptSince >= REWRITE_GRACE_MILLISECONDS + spread) {
-      this.#keptSince = now;
+    if (now - this.#retainedSince >= REWRITE_GRACE_MILLISECONDS + spread) {
+      this.#retainedSince = now;
       view.reconcile();
     }
   }
 
-  #take({ previous: former, position, retained: kept, missing }: StoreRestore): void {
+  #recordRestore({ previous, position, retained, missing }: StoreRestore): void {
     const { clock, events } = this.#options;
-    this.#keptSince = clock.now();
+    this.#retainedSince = clock.now();
     events.write({
       event: 'store-return',
       epoch: epochOf(position),
-      formerEpoch: epochOf(former),
+      formerEpoch: epochOf(previous),
       revision: position.revision,
-      knownRevision: former.revision,
-      kept: kept.filter((key) => !missing.includes(key)),
+      knownRevision: previous.revision,
+      kept: retained.filter((key) => !missing.includes(key)),
       missing: [...missing],
     });
   }
--- a/packages/entry/src/fleet/store-restore.ts
+++ b/packages/entry/src/fleet/store-restore.ts
@@ -1,12 +1,12 @@
 import type { StorePosition } from './store-position.js';
 
-/** That the store has come back from a copy, as this host learned it. */
+/** A restore of the store from a snapshot, as this host learned of it. */
 export interface StoreRestore {
-  /** How far its life before was known. */
+  /** Last known position of the previous epoch. */
   readonly previous: StorePosition;
   readonly position: StorePosition;
-  /** Keys of which more is known than the store holds now. */
+  /** Keys whose known record is newer than what the store holds. */
   readonly retained: readonly string[];
-  /** Of these, keys that the store holds no more. */
+  /** Retained keys that the store no longer holds. */
   readonly missing: readonly string[];
 }
--- a/packages/entry/src/fleet/store-watch.ts
+++ b/packages/entry/src/fleet/store-watch.ts
@@ -10,19 +10,19 @@
 import { epochOf, isAfter } from './store-position.js';
 import { epochOfResponse, epochOfListing, StoreProgress } from './store-progress.js';
 
-/** How long a watch waits at the store. Its end confirms that the store and the way to it work. */
+/** Duration of one watch request. Its end confirms that the store is reachable. */
 const WAIT_MILLISECONDS = 1_000;
-/** An answer that is read no later than this after the wait was not held up on the way. */
+/** Delay beyond the duration of the watch up to which a response counts as prompt. */
 const PROMPT_MILLISECONDS = 500;
-/** Longest that a prompt answer was under way. */
+/** Upper bound on the transit time of a prompt response. */
 const TRANSIT_MILLISECONDS = 100;
-/** Pause after changes, so that those made in quick succession come in one answer. */
+/** Pause after changes, so that changes in quick succession arrive in one response. */
 const BATCH_MILLISECONDS = 20;
-/** Pause of a host that leaves the watching to others, before it looks again. */
+/** Interval at which a host that does not watch checks whether it must. */
 const IDLE_MILLISECONDS = 250;
-/** First pause after a failed call. */
+/** Pause after a failed call. */
 const RETRY_MILLISECONDS = 250;
-/** Between two times that a host reads everything, whatever the store answers. */
+/** Minimum time between two listings by one host. */
 const LISTING_PAUSE_MILLISECONDS = 500;
 
 export interface StoreWatchOptions {
@@ -33,13 +33,13 @@
   readonly view: FleetView;
   readonly health: StoreHealth;
   readonly disabledMechanisms: DisabledMechanisms;
-  /** Whether this host is to wait at the store now, rather than hear from others who do. */
+  /** Whether this host watches the store itself instead of relying on peers. */
   readonly isWatcher: () => boolean;
-  /** How long this host lets others go before it reads everything anew, in milliseconds. */
+  /** Delay before a relist, so that other hosts go first. */
   readonly relistDelayMilliseconds: () => number;
   /**
-   * Asks other hosts what they know beyond the first listing of a host that starts: of a store that came back from a copy, they
-   * may know more than it holds. The function given back takes it over.
+   * Asks peers for records beyond this host's first listing, which a restored store may have lost.
+   * The returned function applies them.
    */
   readonly queryPeers: (
     position: StorePosition,
@@ -47,19 +47,18 @@
   ) => Promise<() => void>;
 }
 
-/** What the store answered, and when. */
 interface StoreResponse {
   readonly source: 'list' | 'watch';
   readonly confirmedAt: number;
   readonly changes: readonly FleetChange[];
 }
 
-/** Keeps the view up to date from the store itself, while this host is one of those who watch. */
+/** Keeps the view up to date from the store while this host is a watcher. */
 export class StoreWatch {
   readonly #options: StoreWatchOptions;
   readonly #tasks: BackgroundTasks;
   #listedAt = -Infinity;
-  /** What the store told, whether it was taken over or not. */
+  /** Progress that the store reported, whether or not it was applied. */
   readonly progress: StoreProgress;
 
   constructor(options: StoreWatchOptions) {
@@ -77,14 +76,14 @@
   }
 
   async #run(signal: AbortSignal): Promise<void> {
-    const { clock, random, isWatcher: isNeeded, view } = this.#options;
+    const { clock, random, isWatcher, view } = this.#options;
     while (!signal.aborted) {
-      if (!isNeeded()) {
+      if (!isWatcher()) {
         await clock.sleep(IDLE_MILLISECONDS, signal);
         continue;
       }
-      const asked = view.isEmpty ? await this.#list() : await this.#wait(signal);
-      const failure = asked?.kind === 'history-lost' ? await this.#relist(signal) : asked;
+      const result = view.isEmpty ? await this.#list() : await this.#wait(signal);
+      const failure = result?.kind === 'history-lost' ? await this.#relist(signal) : result;
       if (failure !== undefined) {
         await clock.sleep(jittered(random, RETRY_MILLISECONDS), signal);
       }
@@ -92,85 +91,74 @@
   }
 
   /**
-   * Reads everything, in this host's turn. Hosts that come later mostly hear of it from those before, and the store is not asked
-   * for everything by all of them at once, nor again and again by one.
+   * Lists the store after a delay, unless a peer provides newer state in the meantime. This keeps
+   * hosts from listing all at once, and one host from listing in a loop.
    */
   async #relist(signal: AbortSignal): Promise<FleetStoreFailure | undefined> {
-    const {
-      clock,
-      random,
-      view,
-      relistDelayMilliseconds: turnMilliseconds,
-      disabledMechanisms: leftOut,
-    } = this.#options;
-    if (leftOut.has('reading-in-turns')) {
+    const { clock, random, view, relistDelayMilliseconds, disabledMechanisms } = this.#options;
+    if (disabledMechanisms.has('reading-in-turns')) {
       return this.#list();
     }
     const known = view.position;
-    const rest = this.#listedAt + jittered(random, LISTING_PAUSE_MILLISECONDS) - clock.now();
-    await clock.sleep(Math.max(turnMilliseconds(), rest), signal);
+    const minDelay = this.#listedAt + jittered(random, LISTING_PAUSE_MILLISECONDS) - clock.now();
+    await clock.sleep(Math.max(relistDelayMilliseconds(), minDelay), signal);
     return isAfter(view.position, known) || signal.aborted ? undefined : this.#list();
   }
 
-  /** Reads everything. */
   async #list(): Promise<FleetStoreFailure | undefined> {
-    const {
-      clock,
-      store,
-      view,
-      queryPeers: askOthers,
-      disabledMechanisms: leftOut,
-    } = this.#options;
-    const askedAt = clock.now();
+    const { clock, store, view, queryPeers, disabledMechanisms } = this.#options;
+    const sentAt = clock.now();
     const known = view.position;
-    this.#listedAt = askedAt;
+    this.#listedAt = sentAt;
     const listing = await store.list();
     if (listing.isErr()) {
-      return this.#failed('list', listing.error);
+      return this.#recordFailure('list', listing.error);
     }
     const { revision } = listing.value;
-    const epoch = leftOut.has('store-lives')
+    const epoch = disabledMechanisms.has('store-lives')
       ? epochOf(known)
       : epochOfListing(listing.value, known);
     const changes = listing.value.changes.map((change) => ({ ...change, epoch }));
-    const takeTold = view.isEmpty ? await askOthers({ epoch, revision }, changes) : undefined;
+    const applyPeerRecords = view.isEmpty
+      ? await queryPeers({ epoch, revision }, changes)
+      : undefined;
     const knownRevision = view.revision;
     this.progress.record(listing.value, knownRevision);
-    const isTaken = view.replace({ epoch, revision }, changes);
-    takeTold?.();
-    this.progress.recordListing(isTaken, knownRevision);
-    this.#succeeded({ epoch, revision }, { source: 'list', confirmedAt: askedAt, changes });
+    const isApplied = view.replace({ epoch, revision }, changes);
+    applyPeerRecords?.();
+    this.progress.recordListing(isApplied, knownRevision);
+    this.#recordResponse({ epoch, revision }, { source: 'list', confirmedAt: sentAt, changes });
     return undefined;
   }
 
   async #wait(signal: AbortSignal): Promise<FleetStoreFailure | undefined> {
-    const { clock, store, view, disabledMechanisms: leftOut } = this.#options;
-    const askedAt = clock.now();
+    const { clock, store, view, disabledMechanisms } = this.#options;
+    const sentAt = clock.now();
     const after = view.position;
-    const answer = await store.waitForChanges(after.revision, WAIT_MILLISECONDS);
-    if (answer.isErr()) {
-      return this.#failed('watch', answer.error);
+    const response = await store.waitForChanges(after.revision, WAIT_MILLISECONDS);
+    if (response.isErr()) {
+      return this.#recordFailure('watch', response.error);
     }
-    const { revision } = answer.value;
-    const told = leftOut.has('store-lives') ? undefined : answer.value.epoch;
-    const epoch = epochOfResponse(told, after);
-    this.progress.record(answer.value, view.revision);
+    const { revision } = response.value;
+    const reportedEpoch = disabledMechanisms.has('store-lives') ? undefined : response.value.epoch;
+    const epoch = epochOfResponse(reportedEpoch, after);
+    this.progress.record(response.value, view.revision);
     if (epoch !== epochOf(after) || revision < after.revision) {
-      // The numbers after which changes were asked for are of another life than the answer's.
-      return { kind: 'history-lost', message: 'the store has come back from a copy' };
+      // The changes were requested after a revision of another epoch than the response's.
+      return { kind: 'history-lost', message: 'the store was restored from a snapshot' };
     }
-    const changes = answer.value.changes.map((change) => ({ ...change, epoch }));
+    const changes = response.value.changes.map((change) => ({ ...change, epoch }));
     const [afterEpoch, afterRevision] = [epoch, after.revision];
     view.apply({ afterEpoch, afterRevision, epoch, revision, changes });
-    const confirmedAt = answeredAt(askedAt, clock.now());
-    this.#succeeded({ epoch, revision }, { source: 'watch', confirmedAt, changes });
+    const confirmedAt = respondedAt(sentAt, clock.now());
+    this.#recordResponse({ epoch, revision }, { source: 'watch', confirmedAt, changes });
     if (changes.length > 0) {
       await clock.sleep(BATCH_MILLISECONDS, signal);
     }
     return undefined;
   }
 
-  #succeeded(position: StorePosition, { source, confirmedAt, changes }: StoreResponse): void {
+  #recordResponse(position: StorePosition, { source, confirmedAt, changes }: StoreResponse): void {
     const { view, health, events } = this.#options;
     if (view.epoch === epochOf(position)) {
       view.confirm(view.lastChange, confirmedAt);
@@ -182,7 +170,7 @@
     }
   }
 
-  #failed(call: string, failure: FleetStoreFailure): FleetStoreFailure {
+  #recordFailure(call: string, failure: FleetStoreFailure): FleetStoreFailure {
     this.progress.record({ epoch: failure.epoch }, this.#options.view.revision);
     if (failure.kind !== 'history-lost') {
       this.#options.health.recordFailure(call, failure.message);
@@ -192,10 +180,10 @@
 }
 
 /**
- * When the store gave an answer that is read now. One that may have lain unread, as while this
- * process did not run, counts from when it was asked for.
+ * Time of a response that is read now. One that may have been waiting to be read, for example while
+ * the process was paused, counts as of when the request was sent.
  */
-function answeredAt(askedAt: number, now: number): number {
-  const isPrompt = now - askedAt <= WAIT_MILLISECONDS + PROMPT_MILLISECONDS;
-  return isPrompt ? Math.max(askedAt, now - TRANSIT_MILLISECONDS) : askedAt;
+function respondedAt(sentAt: number, now: number): number {
+  const isPrompt = now - sentAt <= WAIT_MILLISECONDS + PROMPT_MILLISECONDS;
+  return isPrompt ? Math.max(sentAt, now - TRANSIT_MILLISECONDS) : sentAt;
 }
--- a/packages/entry/src/fleet/suspect-record.ts
+++ b/packages/entry/src/fleet/suspect-record.ts
@@ -1,15 +1,16 @@
 import { z } from 'zod';
 
 /**
- * What is made of a request under which targets ended: `suspected`: it is turned away; `tried`: and it has been let
- * run once more since, to see whether it is the cause; `cleared`: it was answered, and may run.
+ * State of a request during which targets crashed. `suspected`: it is rejected. `tried`: it is
+ * rejected after it was forwarded once more to test it. `cleared`: a target answered it, so it is
+ * forwarded.
  */
 export const suspectStateSchema = z.enum(['suspected', 'tried', 'cleared']);
 
-/** A request under which targets ended, as the store keeps it for hosts that start. */
+/** A request during which targets crashed, stored for hosts that start later. */
 export const suspectRecordSchema = z.object({
   fingerprint: z.string().min(1),
-  /** Starts of targets that ended under it. */
+  /** Incarnations of the targets that crashed. */
   targets: z.array(z.string().min(1)),
   state: suspectStateSchema,
 });
--- a/packages/entry/src/fleet/view-entries.ts
+++ b/packages/entry/src/fleet/view-entries.ts
@@ -9,86 +9,86 @@
 const RADIX = 36;
 
 /**
- * Every key's latest change, as far as this host knows. Within one life of the store its revisions order them. Between two lives records are
- * ordered by their own numbers, where they have any: after a return from a copy the store holds less than was known of it, and what was known is
- * kept, at its position of the former life, until who wrote it has written it again.
+ * Latest known change of every key. Within an epoch of the store, revisions order changes. Across
+ * epochs, records are ordered by their own version numbers if they have any. Records that a restored
+ * store has lost are retained at their old position until their writers have rewritten them.
  */
 export class ViewEntries {
-  /** The life of the store that is the present one. */
+  /** Current epoch of the store. */
   epoch = 0;
   readonly #latest = new Map<string, FleetChange>();
-  /** What the store holds under keys of which more is known. */
+  /** Changes in the store that a newer retained record shadows. */
   readonly #shadowed = new Map<string, FleetChange>();
-  readonly #formerStarts = new SupersededRecords();
-  /** What was asked for of each kind, until a record of the kind changes. */
+  readonly #supersededRecords = new SupersededRecords();
+  /** Cached records of each kind, until a record of the kind changes. */
   readonly #records = new Map<FleetRecord['kind'], readonly FleetRecord[]>();
   #retainedDigest: string | undefined;
-  #isKeptMarkKnown = true;
+  #isDigestCurrent = true;
 
-  /** @param retainsRecords - whether what is known beyond a store that came back from a copy is kept */
+  /** @param retainsRecords - whether records that a restored store has lost are retained */
   constructor(readonly retainsRecords: boolean) {}
 
-  /** Everything held, without what is gone. */
+  /** Latest changes of all keys that are not deleted. */
   get present(): FleetChange[] {
     return [...this.#latest.values()].filter(({ record }) => record !== undefined);
   }
 
-  /** What is known beyond what the store holds since it came back from a copy. */
+  /** Records that are newer than what the restored store holds. */
   get retained(): FleetChange[] {
     return this.present.filter((change) => this.isFromPreviousEpoch(change));
   }
 
-  /** What the store holds under keys of which more is known. */
+  /** Records of the store that a newer retained record shadows. */
   get shadowed(): FleetChange[] {
     return [...this.#shadowed.values()].filter(({ record }) => record !== undefined);
   }
 
-  /** Of what is kept, the keys that the store holds no more. */
+  /** Retained keys that the store no longer holds. */
   get missing(): string[] {
     const keys = this.retained.map(({ key }) => key);
     return keys.filter((key) => this.#shadowed.get(key)?.record === undefined);
   }
 
-  /** Names what is kept, for hosts to see whether they keep the same; undefined where nothing is. */
+  /** Digest of the retained records, for comparison between hosts; undefined if there are none. */
   get retainedDigest(): string | undefined {
-    if (!this.#isKeptMarkKnown) {
+    if (!this.#isDigestCurrent) {
       const rows = this.retained.map(
         ({ key, epoch = 0, revision }) => `${key} ${epoch} ${revision}`,
       );
       this.#retainedDigest =
         rows.length === 0 ? undefined : stableHash(rows.sort().join('\n')).toString(RADIX);
-      this.#isKeptMarkKnown = true;
+      this.#isDigestCurrent = true;
     }
     return this.#retainedDigest;
   }
 
-  /** Whether all that is known is what the store holds. */
+  /** Whether the entries are those of the store. */
   get isReconciled(): boolean {
     return this.retainedDigest === undefined && this.#shadowed.size === 0;
   }
 
-  /** Everything of a kind; the same array while nothing of the kind changes. */
+  /** All records of a kind; the same array while none of them changes. */
   records<Kind extends FleetRecord['kind']>(
     kind: Kind,
   ): readonly Extract<FleetRecord, { kind: Kind }>[] {
-    type Wanted = Extract<FleetRecord, { kind: Kind }>;
-    const known = this.#records.get(kind);
-    if (known !== undefined) {
-      return known as readonly Wanted[];
+    type KindRecord = Extract<FleetRecord, { kind: Kind }>;
+    const cached = this.#records.get(kind);
+    if (cached !== undefined) {
+      return cached as readonly KindRecord[];
     }
-    const records = [...this.#latest.values()].map(({ record }) => record);
-    const wanted = records.filter((record): record is Wanted => record?.kind === kind);
-    this.#records.set(kind, wanted);
-    return wanted;
+    const all = [...this.#latest.values()].map(({ record }) => record);
+    const records = all.filter((record): record is KindRecord => record?.kind === kind);
+    this.#records.set(kind, records);
+    return records;
   }
 
-  /** Revision of a key in the store's present life, as far as is known; 0 where it holds none. */
+  /** Known revision of a key in the current epoch of the store; 0 if the store does not hold it. */
   storedRevision(key: string): number {
-    const written = this.isRetained(key) ? this.#shadowed.get(key) : this.#latest.get(key);
-    return written?.record === undefined ? 0 : written.revision;
+    const stored = this.isRetained(key) ? this.#shadowed.get(key) : this.#latest.get(key);
+    return stored?.record === undefined ? 0 : stored.revision;
   }
 
-  /** Whether more is known of a key than the store holds. */
+  /** Whether the record of a key is newer than what the store holds. */
   isRetained(key: string): boolean {
     const latest = this.#latest.get(key);
     return latest?.record !== undefined && this.isFromPreviousEpoch(latest);
@@ -98,26 +98,26 @@
     return epochOf(change) < this.epoch;
   }
 
-  /** The next life begins, in which the store holds what it held in the one before, but for what is spoken of. */
-  beginEpoch(epoch: number, spokenOf: ReadonlySet<string>): void {
-    const former = [...this.#latest.values()].filter((latest) => !this.isFromPreviousEpoch(latest));
-    for (const latest of former.filter(({ key }) => !spokenOf.has(key))) {
-      // A revision at which something went is of the former life, and may be given out again.
+  /** Begins an epoch in which all keys but the changed ones are as in the previous epoch. */
+  beginEpoch(epoch: number, changed: ReadonlySet<string>): void {
+    const stored = [...this.#latest.values()].filter((latest) => !this.isFromPreviousEpoch(latest));
+    for (const latest of stored.filter(({ key }) => !changed.has(key))) {
+      // The revision of a deletion in the previous epoch may be assigned again in this one.
       const revision = latest.record === undefined ? 0 : latest.revision;
       this.#latest.set(latest.key, { ...latest, epoch, revision });
     }
-    for (const [key, word] of this.#shadowed) {
-      if (spokenOf.has(key)) {
+    for (const [key, shadowed] of this.#shadowed) {
+      if (changed.has(key)) {
         this.#shadowed.delete(key);
       } else {
-        this.#shadowed.set(key, { ...word, epoch });
+        this.#shadowed.set(key, { ...shadowed, epoch });
       }
     }
     this.epoch = epoch;
-    this.#isKeptMarkKnown = false;
+    this.#isDigestCurrent = false;
   }
 
-  /** Whether a listed record is what is known, at the same revision. */
+  /** Whether a listed record equals the known one, at the same revision. */
   isUnchanged({ key, revision, record }: FleetChange): boolean {
     const latest = this.#latest.get(key);
     return (
@@ -127,13 +127,16 @@
     );
   }
 
-  /** Whether a change of another life is newer than what is known by the numbers that stand in it. */
+  /** Whether a change of another epoch is newer by the version numbers in the records. */
   hasNewerVersion(change: FleetChange): boolean {
-    const isOfOtherLife = epochOf(change) !== this.epoch;
-    return isOfOtherLife && orderOf(change, this.#latest.get(change.key)) === 'newer';
+    const isFromOtherEpoch = epochOf(change) !== this.epoch;
+    return isFromOtherEpoch && orderOf(change, this.#latest.get(change.key)) === 'newer';
   }
 
-  /** Whether a change is to be taken over. A configuration stays in force where what comes after it cannot be read; all else is gone then. */
+  /**
+   * Whether a change supersedes the latest known one. An unreadable value deletes a record, except
+   * for a configuration, which stays in force.
+   */
   isNewer(change: FleetChange): boolean {
     const latest = this.#latest.get(change.key);
     if (latest === undefined) {
@@ -145,38 +148,42 @@
     if (epochOf(change) === epochOf(latest)) {
       return change.revision > latest.revision;
     }
-    return this.#isNewsOfOtherLife(change, latest);
+    return this.#isNewerAcrossEpochs(change, latest);
   }
 
-  /** Takes over a change that is news. How it was found says nothing about it later. */
-  put(news: FleetChange): void {
-    const change = { ...news };
+  /** Applies a newer change. */
+  put(newer: FleetChange): void {
+    const change = { ...newer };
     delete change.isListed;
     const { key } = change;
-    const former = this.#latest.get(key);
-    this.#forgetRecords(former?.record, change.record);
-    this.#formerStarts.record(change, former?.record);
+    const previous = this.#latest.get(key);
+    this.#invalidateRecords(previous?.record, change.record);
+    this.#supersededRecords.record(change, previous?.record);
     this.#latest.set(key, change);
-    this.#isKeptMarkKnown = false;
+    this.#isDigestCurrent = false;
     if (!this.isFromPreviousEpoch(change)) {
       this.#shadowed.delete(key);
-    } else if (former !== undefined && !this.isFromPreviousEpoch(former)) {
-      this.#shadowed.set(key, former);
+    } else if (previous !== undefined && !this.isFromPreviousEpoch(previous)) {
+      this.#shadowed.set(key, previous);
     }
   }
 
-  /** Remembers what the store's present life holds, where more is known; tells whether it is so. */
+  /**
+   * Records a change of the current epoch if a retained record shadows it.
+   *
+   * @returns whether it does
+   */
   recordShadowed(change: FleetChange): boolean {
     const latest = this.#latest.get(change.key);
-    const isWord =
+    const isShadowed =
       epochOf(change) === this.epoch && latest !== undefined && this.isFromPreviousEpoch(latest);
-    if (isWord) {
+    if (isShadowed) {
       this.#shadowed.set(change.key, change);
     }
-    return isWord;
+    return isShadowed;
   }
 
-  /** The store's present life holds nothing under keys that are not listed. */
+  /** Discards shadowed changes whose keys are not listed. */
   dropShadowed(listed: ReadonlySet<string>): void {
     for (const key of this.#shadowed.keys()) {
       if (!listed.has(key)) {
@@ -186,30 +193,32 @@
   }
 
   /**
-   * What holds once all have had time to write again what the store had lost: what it still lacks is gone, and what it still holds is
-   * there, whatever was known before. A configuration is never gone, and no record takes back what is newer by its own numbers.
+   * Adopts the content of the store after the grace period for rewriting lost records. Configurations
+   * and records that are newer by their own version numbers stay retained.
+   *
+   * @returns the changes
    */
   reconcile(): FleetChange[] {
-    const news = [...this.#latest.values()]
+    const changes = [...this.#latest.values()]
       .filter((latest) => this.isFromPreviousEpoch(latest))
-      .flatMap((latest) => this.#settled(latest));
-    for (const change of news) {
+      .flatMap((latest) => this.#reconciled(latest));
+    for (const change of changes) {
       this.put(change);
     }
-    return news;
+    return changes;
   }
 
-  #settled({ key, record }: FleetChange): FleetChange[] {
-    const word = this.#shadowed.get(key);
-    const isBelieved = record === undefined || record.kind === 'entryHost';
-    if (isBelieved && word?.record !== undefined) {
-      return [word];
+  #reconciled({ key, record }: FleetChange): FleetChange[] {
+    const stored = this.#shadowed.get(key);
+    const mayAdopt = record === undefined || record.kind === 'entryHost';
+    if (mayAdopt && stored?.record !== undefined) {
+      return [stored];
     }
-    const isGone = record?.kind !== 'configuration' && word?.record === undefined;
-    return isGone ? [{ key, epoch: this.epoch, revision: 0 }] : [];
+    const isDeleted = record?.kind !== 'configuration' && stored?.record === undefined;
+    return isDeleted ? [{ key, epoch: this.epoch, revision: 0 }] : [];
   }
 
-  #isNewsOfOtherLife(change: FleetChange, latest: FleetChange): boolean {
+  #isNewerAcrossEpochs(change: FleetChange, latest: FleetChange): boolean {
     if (!this.retainsRecords) {
       return isAfter(change, latest);
     }
@@ -222,11 +231,11 @@
     }
     return change.record === undefined
       ? latest.record === undefined || latest.record.kind === 'target'
-      : !this.#formerStarts.mayBeStale(change.record, latest);
+      : !this.#supersededRecords.mayBeStale(change.record, latest);
   }
 
-  /** The records of these kinds are put together anew when they are asked for. */
-  #forgetRecords(...changed: readonly (FleetRecord | undefined)[]): void {
+  /** Drops the cached records of the kinds of these. */
+  #invalidateRecords(...changed: readonly (FleetRecord | undefined)[]): void {
     for (const record of changed) {
       if (record !== undefined) {
         this.#records.delete(record.kind);
--- a/packages/entry/src/fleet/view-history.ts
+++ b/packages/entry/src/fleet/view-history.ts
@@ -2,25 +2,24 @@
 import type { StorePosition } from './store-position.js';
 import { epochOf, isAfter, NO_POSITION } from './store-position.js';
 
-/** Changes that are kept to be handed to other entry hosts. */
 const MAX_CHANGES = 2_000;
-/** Returns of the store of which it is kept how far its life before had been known. */
 const MAX_PREVIOUS_EPOCHS = 4;
 
+/** Positions of an epoch that the history covers. */
 interface EpochRange {
-  readonly entered: StorePosition;
+  readonly start: StorePosition;
   readonly end: StorePosition;
 }
 
-/** The latest changes in their order, by which hosts that know less are told only what they lack. */
+/** Latest changes in order, from which deltas for other hosts are made. */
 export class ViewHistory {
   readonly #changes: FleetChange[] = [];
-  /** It reaches back to the changes after this. */
+  /** Position after which the history is complete. */
   #after: StorePosition = NO_POSITION;
-  /** Where the present life was entered; what came in it before is known as a whole alone, not change by change. */
-  #entered: StorePosition = NO_POSITION;
-  /** Former lives of the store: where they were entered, and how far they were known when the next one was learned of. */
-  readonly #former = new Map<number, EpochRange>();
+  /** Start of the current epoch in the history; earlier changes of it are not known one by one. */
+  #start: StorePosition = NO_POSITION;
+  /** Known ranges of previous epochs, by epoch. */
+  readonly #previous = new Map<number, EpochRange>();
 
   add(changes: readonly FleetChange[]): void {
     this.#changes.push(...changes);
@@ -29,40 +28,41 @@
     }
   }
 
-  /** Nothing before a position is kept any more. */
+  /** Discards everything up to a position. */
   reset(after: StorePosition): void {
     this.#changes.length = 0;
     this.#after = after;
-    this.#entered = after;
-    this.#former.clear();
+    this.#start = after;
+    this.#previous.clear();
   }
 
-  /** The present life was entered at a position. */
+  /** Starts the current epoch at a position. */
   beginEpoch(at: StorePosition): void {
-    this.#entered = at;
+    this.#start = at;
   }
 
-  /** The store's life ended for this host at a position. What follows is what the next one differs in. */
+  /** Ends an epoch at a position; the changes that follow are the differences of the next epoch. */
   endEpoch(at: StorePosition): void {
-    this.#former.set(epochOf(at), { entered: this.#entered, end: at });
-    if (this.#former.size > MAX_PREVIOUS_EPOCHS) {
-      this.#former.delete(this.#former.keys().next().value ?? 0);
+    this.#previous.set(epochOf(at), { start: this.#start, end: at });
+    if (this.#previous.size > MAX_PREVIOUS_EPOCHS) {
+      this.#previous.delete(this.#previous.keys().next().value ?? 0);
     }
   }
 
   /**
-   * What came after a position, or undefined where that is no longer kept. Who knows more of a former life than was known
-   * here may hold what the next life lacks, and nothing here would take it back.
+   * Changes after a position, or undefined if the history does not cover it. It does not cover
+   * positions of a previous epoch beyond what was known here: those hosts may hold records that no
+   * change here would delete.
    *
-   * @param epoch - the present life
+   * @param epoch - the current epoch
    */
   since(position: StorePosition, epoch: number): FleetChange[] | undefined {
-    const life =
+    const range =
       epochOf(position) === epoch
-        ? { entered: this.#entered, end: position }
-        : this.#former.get(epochOf(position));
+        ? { start: this.#start, end: position }
+        : this.#previous.get(epochOf(position));
     const isCovered =
-      life !== undefined && !isAfter(life.entered, position) && !isAfter(position, life.end);
+      range !== undefined && !isAfter(range.start, position) && !isAfter(position, range.end);
     if (!isCovered || isAfter(this.#after, position)) {
       return undefined;
     }
