--- a/packages/entry/src/fleet/compare-records.ts
+++ b/packages/entry/src/fleet/compare-records.ts
@@ -6,8 +6,9 @@
 export type RecordOrder = 'newer' | 'older' | undefined;
 
 /**
- * Orders two records of a key by the numbers that their writers assign, which a restore of the store
- * does not reset: the version of a configuration, the incarnation and the sequence of a target.
+ * Orders two records of a key by the numbers that their writers assign, which a restore of the
+ * store does not reset: the version of a configuration, the incarnation and the sequence of a
+ * target.
  */
 export function compareRecords(one: FleetRecord, other: FleetRecord): RecordOrder {
   if (one.kind === 'configuration' && other.kind === 'configuration') {
--- a/packages/entry/src/fleet/fleet-store.ts
+++ b/packages/entry/src/fleet/fleet-store.ts
@@ -3,9 +3,9 @@
 import type { EntryHostRecord, FleetChange } from './fleet-record.js';
 
 /**
- * A failed call to the store. `not-done`: it had no effect. `unknown`: it may have or may still take
- * effect. `history-lost`: the requested changes have been compacted. `lease-over`: the lease has
- * expired.
+ * A failed call to the store. `not-done`: it had no effect. `unknown`: it may have or may still
+ * take effect. `history-lost`: the requested changes have been compacted. `lease-over`: the lease
+ * has expired.
  */
 export interface FleetStoreFailure {
   readonly kind: 'not-done' | 'unknown' | 'history-lost' | 'lease-over';
@@ -23,8 +23,8 @@
 }
 
 /**
- * A registration that expires unless it is renewed. Its id is valid in one epoch of the store: after
- * a restore it may belong to another host.
+ * A registration that expires unless it is renewed. Its id is valid in one epoch of the store:
+ * after a restore it may belong to another host.
  */
 export interface HostLease {
   readonly id: number;
--- a/packages/entry/src/fleet/fleet-view.ts
+++ b/packages/entry/src/fleet/fleet-view.ts
@@ -11,8 +11,8 @@
 export type FleetListener = (changes: readonly FleetChange[]) => void;
 
 /**
- * Replica of the store's content on this entry host: the latest change of every key up to a position.
- * It only moves forward, whatever the order and the source of updates.
+ * Replica of the store's content on this entry host: the latest change of every key up to a
+ * position. It only moves forward, whatever the order and the source of updates.
  */
 export class FleetView {
   /** Position up to which every change is known. */
@@ -160,7 +160,7 @@
     this.#notifyChanges(this.#entries.reconcile());
   }
 
-  /** Applies the changes epoch by epoch; of a past epoch only records with newer version numbers. */
+  /** Applies changes epoch by epoch; of past epochs only records with newer version numbers. */
   #applyByEpoch({ changes, kept = [] }: FleetDelta, upTo: StorePosition): FleetChange[] {
     if (this.isEmpty) {
       this.#entries.beginEpoch(epochOf(upTo), new Set());
--- a/packages/entry/src/fleet/store-health.ts
+++ b/packages/entry/src/fleet/store-health.ts
@@ -3,7 +3,7 @@
 
 /** Availability of the store as this entry host sees it. */
 export class StoreHealth {
-  /** When the store became available after an outage or restore; infinite while it is unavailable. */
+  /** When the store last became available or was restored; infinite while unavailable. */
   availableSince = -Infinity;
   /** When the store last responded to this host. */
   lastResponseAt = -Infinity;
--- a/packages/entry/src/fleet/store-position.ts
+++ b/packages/entry/src/fleet/store-position.ts
@@ -1,6 +1,6 @@
 /**
- * A point in the history of the store. A restore from a snapshot sets the revision back and revisions
- * are assigned again, so they only order changes of the same epoch.
+ * A point in the history of the store. A restore from a snapshot sets the revision back and
+ * revisions are assigned again, so they only order changes of the same epoch.
  */
 export interface StorePosition {
   /** Increases with each restore, see {@link epochFromReported}; absent means 0. */
--- a/packages/entry/src/fleet/store-progress.ts
+++ b/packages/entry/src/fleet/store-progress.ts
@@ -66,8 +66,8 @@
 }
 
 /**
- * Epoch that a listing belongs to. A listing that ends before the known position of its epoch reveals
- * a restore that the store does not report.
+ * Epoch that a listing belongs to. A listing that ends before the known position of its epoch
+ * reveals a restore that the store does not report.
  */
 export function epochOfListing(
   reported: ReportedProgress & { readonly revision: number },
--- a/packages/entry/src/fleet/superseded-records.ts
+++ b/packages/entry/src/fleet/superseded-records.ts
@@ -9,8 +9,8 @@
 const STATES: readonly SuspectState[] = ['suspected', 'tried', 'cleared'];
 
 /**
- * Previous records of keys. They identify stale records in the listing of a restored store where the
- * records carry no version that orders them.
+ * Previous records of keys. They identify stale records in the listing of a restored store where
+ * the records carry no version that orders them.
  */
 export class SupersededRecords {
   readonly #previous = new Map<string, readonly FleetRecord[]>();
@@ -35,9 +35,7 @@
       return STATES.indexOf(listed.suspect.state) < STATES.indexOf(record.suspect.state);
     }
     const isReplaced = record === undefined || !isSameIncarnation(listed, record);
-    return (
-      isReplaced && this.#previousOf(key).some((previous) => isSameIncarnation(listed, previous))
-    );
+    return isReplaced && this.#previousOf(key).some((known) => isSameIncarnation(listed, known));
   }
 
   #previousOf(key: string): readonly FleetRecord[] {
--- a/packages/entry/src/fleet/view-entries.ts
+++ b/packages/entry/src/fleet/view-entries.ts
@@ -10,8 +10,9 @@
 
 /**
  * Latest known change of every key. Within an epoch of the store, revisions order changes. Across
- * epochs, records are ordered by their own version numbers if they have any. Records that a restored
- * store has lost are retained at their old position until their writers have rewritten them.
+ * epochs, records are ordered by their own version numbers if they have any. Records that a
+ * restored store has lost are retained at their old position until their writers have rewritten
+ * them.
  */
 export class ViewEntries {
   /** Current epoch of the store. */
@@ -193,8 +194,8 @@
   }
 
   /**
-   * Adopts the content of the store after the grace period for rewriting lost records. Configurations
-   * and records that are newer by their own version numbers stay retained.
+   * Adopts the content of the store after the grace period for rewriting lost records.
+   * Configurations and records that are newer by their own version numbers stay retained.
    *
    * @returns the changes
    */
