--- a/packages/entry/src/address.ts
+++ b/packages/entry/src/address.ts
@@ -1,4 +1,4 @@
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -3,46 +3,46 @@
 import type { FleetView } from './fleet/fleet-view.js';
 import type { PeerTable } from './peers/peer-table.js';
 
-/** Entry hosts in one answer, at most. */
+/** Maximum number of entry hosts in an answer. */
 const MAX_HOSTS = 64;
-/** How long callers use an answer: short, so that a host that died is left soon. */
+/** Short, so that callers soon stop using a host that failed. */
 const TTL_MILLISECONDS = 2_000;
-/** Fewest large hosts of a region that may serve it alone: the loss of one has to be borne. */
+/** Minimum number of large hosts to serve a region alone, so that the loss of one is tolerated. */
 const MIN_LARGE_HOSTS = 3;
-/** Part of the large hosts' time that all callers may take up when these are left to them. */
+/** Utilization of the large hosts up to which they start to serve a region alone. */
 const LARGE_ONLY_ENTER_UTILIZATION = 0.3;
-/** Part at which the small hosts come in: a rush to twice as much is to find room. */
+/** Utilization at which small hosts are added; leaves capacity for twice the load. */
 const LARGE_ONLY_EXIT_UTILIZATION = 0.45;
 
-/** Which entry hosts a caller is to use, and for how long. */
+/** Entry hosts that a caller may use, and for how long. */
 export interface DirectoryAnswer {
   readonly trafficAddresses: readonly string[];
   readonly ttlMilliseconds: number;
 }
 
-/** An entry host that takes callers. */
+/** An entry host that accepts callers. */
 export interface DirectoryHost {
   readonly host: EntryHostRecord;
-  /** Part of its time in which it has work, from 0 to 1. */
+  /** Event loop utilization from 0 to 1. */
   readonly utilization: number;
 }
 
 export interface DirectoryOptions {
   readonly view: FleetView;
   readonly peers: PeerTable;
-  /** This host, while it takes callers. */
+  /** This host while it accepts callers. */
   readonly own: () => DirectoryHost | undefined;
   readonly maxTtlMilliseconds: number;
 }
 
 /**
- * Tells callers which entry hosts to use: those of their own region that are heard from, and of
- * these the large ones alone while they have room for all.
+ * Discovery of entry hosts for callers: the live hosts of the caller's region, and of these only
+ * the large ones while they have capacity for all callers.
  */
 export class Directory {
   readonly #options: DirectoryOptions;
-  /** Regions whose large hosts alone are told. */
-  readonly #largeOnly = new Set<string>();
+  /** Regions that are served by their large hosts alone. */
+  readonly #largeOnlyRegions = new Set<string>();
 
   constructor(options: DirectoryOptions) {
     this.#options = options;
@@ -63,15 +63,15 @@
     if (large.length === hosts.length) {
       return hosts;
     }
-    const bound = this.#largeOnly.has(region)
+    const maxUtilization = this.#largeOnlyRegions.has(region)
       ? LARGE_ONLY_EXIT_UTILIZATION
       : LARGE_ONLY_ENTER_UTILIZATION;
-    const fits = this.#work(hosts) <= bound * capacity(large);
+    const fits = this.#busyCores(hosts) <= maxUtilization * totalCapacity(large);
     if (fits && large.length >= MIN_LARGE_HOSTS) {
-      this.#largeOnly.add(region);
+      this.#largeOnlyRegions.add(region);
       return large;
     }
-    this.#largeOnly.delete(region);
+    this.#largeOnlyRegions.delete(region);
     return hosts;
   }
 
@@ -81,25 +81,22 @@
     const others = view.records('entryHost').flatMap(({ host }) => {
       const isOther = host.name !== self?.host.name && peers.isServing(host);
       const utilization = peers.get(host.name)?.utilization ?? 0;
-      return isOther ? [{ host, utilization: utilization }] : [];
+      return isOther ? [{ host, utilization }] : [];
     });
     return self === undefined ? others : [self, ...others];
   }
 
-  /** Cores that the hosts' work takes up: as relays tell it, or summed up from what hosts tell. */
-  #work(hosts: readonly DirectoryHost[]): number {
+  /** Busy cores by the summaries of relays, or else by the reports of the hosts. */
+  #busyCores(hosts: readonly DirectoryHost[]): number {
     const regions = [...new Set(hosts.map(({ host }) => host.region))];
-    const told = regions.map((region) => this.#options.peers.regionSummary(region)?.busyCores);
-    if (told.every((work) => work !== undefined)) {
-      return told.reduce((sum, work) => sum + work, 0);
+    const reported = regions.map((region) => this.#options.peers.regionSummary(region)?.busyCores);
+    if (reported.every((cores) => cores !== undefined)) {
+      return reported.reduce((sum, cores) => sum + cores, 0);
     }
-    return hosts.reduce(
-      (sum, { host, utilization: busyShare }) => sum + busyShare * host.capacity,
-      0,
-    );
+    return hosts.reduce((sum, { host, utilization }) => sum + utilization * host.capacity, 0);
   }
 }
 
-function capacity(hosts: readonly DirectoryHost[]): number {
+function totalCapacity(hosts: readonly DirectoryHost[]): number {
   return hosts.reduce((sum, { host }) => sum + host.capacity, 0);
 }
--- a/packages/entry/src/entry-host-settings.ts
+++ b/packages/entry/src/entry-host-settings.ts
@@ -5,7 +5,7 @@
   RegionShiftLimit,
 } from '@ferrylock/routing';
 
-/** What an entry host is told when it starts. */
+/** Settings of an entry host. */
 export interface EntryHostSettings {
   readonly name: string;
   readonly failureDomain: string;
@@ -15,24 +15,24 @@
   readonly trafficAddress: string;
   readonly controlAddress: string;
   readonly reportAddress: string;
-  /** Control addresses of hosts that may be asked while nothing is known. */
+  /** Control addresses of hosts from which a host without state bootstraps. */
   readonly seedAddresses: readonly string[];
-  /** What it can carry, in cores. */
+  /** Capacity in cores. */
   readonly capacity: number;
-  /** Bytes of callers' bodies that are held at a time. */
+  /** Limit on the request bodies that are buffered at a time. */
   readonly maxBufferedBodyBytes: number;
-  /** How long a planned stop may take. */
+  /** Bound on a graceful shutdown. */
   readonly shutdownTimeoutMilliseconds: number;
-  /** How long a leaving target serves on after it said so. */
+  /** How long a target continues to serve after it announced that it is leaving. */
   readonly drainMilliseconds: number;
   readonly retryBudget: RetryBudgetSettings;
   readonly regionShiftLimit: RegionShiftLimit;
-  /** How client accounts' requests are counted. */
+  /** Enforcement of the request limits of client accounts. */
   readonly quotaPolicy: QuotaPolicy;
-  /** Whether the whole deployment starts for the first time. */
+  /** Whether this is the first start of the whole deployment. */
   readonly isFirstStart: boolean;
-  /** Mechanisms that are left out, to measure what they are worth. */
+  /** Mechanisms that are disabled for comparison. */
   readonly disabledMechanisms: DisabledMechanisms;
-  /** Longest that callers use a directory answer. */
+  /** Upper bound on the time to live of a directory answer. */
   readonly maxDirectoryTtlMilliseconds: number;
 }
--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -31,14 +31,13 @@
 import { ControlServer } from './servers/control-server.js';
 import { TrafficServer } from './servers/traffic-server.js';
 
-/** Time between two summaries in the log. */
 const SUMMARY_MILLISECONDS = 5_000;
-/** Time between two looks at whether all requests in flight have ended. */
+/** Interval of the checks for requests in flight during a graceful shutdown. */
 const DRAIN_CHECK_MILLISECONDS = 20;
-/** Time at the end of a planned stop that is left for closing. */
+/** Time that a graceful shutdown reserves for closing connections. */
 const CLOSING_MILLISECONDS = 400;
-/** Part of the time for a stop during which new connections are still taken. */
-const SERVING_SHARE = 0.6;
+/** Fraction of the shutdown timeout during which new connections are accepted. */
+const SERVING_FRACTION = 0.6;
 
 export interface EntryHostOptions {
   readonly settings: EntryHostSettings;
@@ -49,37 +48,37 @@
   readonly codec: HeaderCodec;
 }
 
-/** One entry host's process: callers' requests, the directory, and its part in the fleet. */
+/** An entry host: forwards callers' requests, serves the directory and takes part in the fleet. */
 export class EntryHost {
   readonly incarnation = randomUUID().slice(0, 8);
   readonly metrics = new RequestMetrics();
   readonly #options: EntryHostOptions;
   readonly #tasks: BackgroundTasks;
-  readonly #busy = new UtilizationMeter();
+  readonly #utilizationMeter = new UtilizationMeter();
   readonly #member: FleetMember;
   readonly #client: TargetClient;
-  readonly #ends: TargetCrashDetector;
-  readonly #words: TargetSignalRecorder;
+  readonly #crashDetector: TargetCrashDetector;
+  readonly #signalRecorder: TargetSignalRecorder;
   readonly #directory: Directory;
-  readonly #front: TrafficServer;
-  readonly #control: ControlServer;
-  #own: EntryHostRecord | undefined;
+  readonly #trafficServer: TrafficServer;
+  readonly #controlServer: ControlServer;
+  #registration: EntryHostRecord | undefined;
   #largeHosts: { readonly of: readonly EntryHostRecord[]; readonly names: readonly string[] };
 
   constructor(options: EntryHostOptions) {
     this.#options = options;
     const { settings, clock, events } = options;
     this.#tasks = new BackgroundTasks(events.logger);
-    const runDelay = new EventLoopDelay(clock);
+    const eventLoopDelay = new EventLoopDelay(clock);
     this.#member = new FleetMember({
       ...options,
       peerCalls: new PeerClient(),
       createTransport: (onMessage) => new UdpTransport(events, onMessage),
       onSweep: (lateMilliseconds) => {
-        this.#busy.sample();
-        runDelay.record(lateMilliseconds);
+        this.#utilizationMeter.sample();
+        eventLoopDelay.record(lateMilliseconds);
       },
-      utilization: () => this.#busy.utilization,
+      utilization: () => this.#utilizationMeter.utilization,
     });
     this.#largeHosts = { of: [], names: [settings.name] };
     const { view, state, peers, accounts, limits, suspects } = this.#member;
@@ -89,15 +88,15 @@
         state.recordConnectTime(address, milliseconds);
       },
     });
-    this.#ends = new TargetCrashDetector({
+    this.#crashDetector = new TargetCrashDetector({
       clock,
       events,
       checkConnection,
-      onCrash: (end) => {
-        suspects.recordCrash(end);
+      onCrash: (crash) => {
+        suspects.recordCrash(crash);
       },
     });
-    this.#words = new TargetSignalRecorder({
+    this.#signalRecorder = new TargetSignalRecorder({
       ...options,
       onLimitChange: (target) => {
         limits.recordLimitChange(target);
@@ -107,9 +106,9 @@
       view,
       peers,
       own: () =>
-        this.#member.isLeaving || this.#own === undefined
+        this.#member.isLeaving || this.#registration === undefined
           ? undefined
-          : { host: this.#own, utilization: this.#busy.utilization },
+          : { host: this.#registration, utilization: this.#utilizationMeter.utilization },
       maxTtlMilliseconds: settings.maxDirectoryTtlMilliseconds,
     });
     const forwarder = new RequestForwarder({
@@ -117,54 +116,55 @@
       state,
       accounts,
       client: this.#client,
-      crashDetector: this.#ends,
+      crashDetector: this.#crashDetector,
       suspects,
-      signalRecorder: this.#words,
+      signalRecorder: this.#signalRecorder,
       limits: limits.limits,
       bodyReader: new BodyReader(clock, settings.maxBufferedBodyBytes),
       responses: new ResponseWriter({ ...options, view, metrics: this.metrics }),
       metrics: this.metrics,
       ownName: settings.name,
-      isLagging: () => runDelay.isLagging,
+      isLagging: () => eventLoopDelay.isLagging,
       hosts: () => this.#member.hostNames,
       largeHosts: () => this.#largeHostNames(),
     });
-    this.#front = new TrafficServer({
+    this.#trafficServer = new TrafficServer({
       handle: (request, response, path) => forwarder.handle(request, response, path),
       onFailure: (error) => {
         events.logger.error('request handler failed', { error: String(error) });
       },
     });
-    this.#control = new ControlServer({
+    this.#controlServer = new ControlServer({
       viewExchange: this.#member.viewExchange,
       metricsText: () => this.metricsText(),
     });
     state.onConfiguration(({ limits }) => {
-      this.#front.setLimits(limits);
+      this.#trafficServer.setLimits(limits);
     });
   }
 
-  /** What requests are routed by. */
   get state(): RoutingState {
     return this.#member.state;
   }
 
-  /** What it believes that the store holds. */
+  /** Replica of the store's content. */
   get view(): FleetView {
     return this.#member.view;
   }
 
-  /** Whether callers are to be sent here. */
+  /** Whether this host accepts callers. */
   get isReady(): boolean {
-    return this.state.active !== undefined && !this.#member.isLeaving && this.#own !== undefined;
+    return (
+      this.state.active !== undefined && !this.#member.isLeaving && this.#registration !== undefined
+    );
   }
 
-  /** Where it can be reached, with the ports that were taken; undefined before the start. */
+  /** Registration with the bound ports; undefined before the start. */
   get addresses(): EntryHostRecord | undefined {
-    return this.#own;
+    return this.#registration;
   }
 
-  /** Figures in the Prometheus text format. */
+  /** Metrics in the Prometheus text format. */
   metricsText(): string {
     const { clock, events } = this.#options;
     const { view, peers, state, hosts, limits, storeProgress } = this.#member;
@@ -182,31 +182,31 @@
       targetsKnown: services.reduce((sum, { targets }) => sum + targets.size, 0),
       logLinesDropped: events.dropped,
       unreadableRecords: events.unreadable,
-      targetsEnded: this.#ends.crashes,
-      rests: this.#words.rests,
-      unwantedSends: this.#words.unwantedSends,
-      targetsSaidLeaving: this.#words.leaving,
+      targetsEnded: this.#crashDetector.crashes,
+      rests: this.#signalRecorder.rests,
+      unwantedSends: this.#signalRecorder.unwantedSends,
+      targetsSaidLeaving: this.#signalRecorder.leaving,
       resting: restingTargets(services, clock.now()),
-      limits: this.#words.limits,
-      limitedSends: this.#words.limitedSends,
+      limits: this.#signalRecorder.limits,
+      limitedSends: this.#signalRecorder.limitedSends,
       limited: limitedTargets(services, limits.limits),
       suspectRequests: this.#member.suspects.table.suspects.length,
     });
   }
 
-  /** Which entry hosts a caller of this region is to use. */
+  /** Looks up the entry hosts for a caller of a region. */
   directoryAnswer(region: string): DirectoryAnswer {
     return this.#directory.answer(region);
   }
 
-  /** Listens and begins to learn; requests are refused until a configuration is known. */
+  /** Starts the servers and joins the fleet; refuses requests until a configuration is known. */
   async start(): Promise<void> {
     const { settings, events } = this.#options;
     const reportAddress = await this.#member.listen();
-    const controlAddress = await this.#control.listen(settings.controlAddress);
-    const trafficAddress = await this.#front.listen(settings.trafficAddress);
+    const controlAddress = await this.#controlServer.listen(settings.controlAddress);
+    const trafficAddress = await this.#trafficServer.listen(settings.trafficAddress);
     const { name, failureDomain, region, capacity } = settings;
-    this.#own = {
+    this.#registration = {
       name,
       incarnation: this.incarnation,
       failureDomain,
@@ -216,44 +216,44 @@
       reportAddress,
       capacity,
     };
-    this.#member.start(this.#own);
-    this.#tasks.start('summary', (signal) => this.#summarise(signal));
+    this.#member.start(this.#registration);
+    this.#tasks.start('summary', (signal) => this.#logSummaries(signal));
     const startMilliseconds = Math.round(process.uptime() * 1_000);
     events.write({ event: 'started', incarnation: this.incarnation, startMilliseconds });
   }
 
   /**
-   * Planned stop: the directory stops naming this host, it serves on while callers may still come,
-   * then closes idle connections and lets requests in flight end.
+   * Shuts down gracefully: leaves the directory, serves while callers may still connect, then
+   * closes idle connections and waits for requests in flight.
    *
-   * @returns requests that were cut at the end of the time for a stop
+   * @returns number of requests that were aborted at the timeout
    */
   async stop(): Promise<number> {
     const { settings, clock, events } = this.#options;
-    const stopAt = clock.now() + settings.shutdownTimeoutMilliseconds;
+    const deadline = clock.now() + settings.shutdownTimeoutMilliseconds;
     events.write({ event: 'stopping', inFlight: this.metrics.inFlight });
-    this.#front.beginDraining();
-    const withdrawn = this.#member.leave();
-    await clock.sleep(settings.shutdownTimeoutMilliseconds * SERVING_SHARE);
-    this.#front.closeIdleConnections();
-    while (this.metrics.inFlight > 0 && clock.now() < stopAt - CLOSING_MILLISECONDS) {
+    this.#trafficServer.beginDraining();
+    const deregistered = this.#member.leave();
+    await clock.sleep(settings.shutdownTimeoutMilliseconds * SERVING_FRACTION);
+    this.#trafficServer.closeIdleConnections();
+    while (this.metrics.inFlight > 0 && clock.now() < deadline - CLOSING_MILLISECONDS) {
       await clock.sleep(DRAIN_CHECK_MILLISECONDS);
     }
     const cut = this.metrics.inFlight;
     events.write({ event: 'stopped', cut, accounts: this.metrics.accounts.rows });
-    await Promise.race([withdrawn, clock.sleep(CLOSING_MILLISECONDS)]);
+    await Promise.race([deregistered, clock.sleep(CLOSING_MILLISECONDS)]);
     await this.close();
     return cut;
   }
 
-  /** Ends everything at once. */
+  /** Shuts down immediately. */
   async close(): Promise<void> {
     await Promise.all([this.#tasks.stop(), this.#member.close()]);
-    await Promise.all([this.#front.close(), this.#control.close()]);
+    await Promise.all([this.#trafficServer.close(), this.#controlServer.close()]);
     await this.#client.close();
   }
 
-  /** Hosts that are likely to have a request at any moment; the same array while nothing changes. */
+  /** Names of the large hosts; the same array while the fleet does not change. */
   #largeHostNames(): readonly string[] {
     const { hosts, hostNames } = this.#member;
     if (this.#largeHosts.of !== hosts) {
@@ -263,7 +263,7 @@
     return this.#largeHosts.names;
   }
 
-  async #summarise(signal: AbortSignal): Promise<void> {
+  async #logSummaries(signal: AbortSignal): Promise<void> {
     const { clock, events } = this.#options;
     let writtenAt = clock.now();
     while (!signal.aborted) {
--- a/packages/entry/src/event-loop-delay.ts
+++ b/packages/entry/src/event-loop-delay.ts
@@ -1,29 +1,29 @@
 import type { Clock } from '@ferrylock/utils';
 
-/** A gap in running from which callers may have left before their request is read. */
-const LATE_MILLISECONDS = 150;
-/** How long a process counts as behind after such a gap, and after its start: what lies unread is read. */
-const BEHIND_MILLISECONDS = 3_000;
+/** Delay after which callers may have given up before their request is read. */
+const DELAY_THRESHOLD_MILLISECONDS = 150;
+/** Time in which a process works off its backlog after such a delay and after its start. */
+const LAGGING_MILLISECONDS = 3_000;
 
 /**
- * Whether this process ran late lately, as while it starts on a small host, was frozen or has more work
- * than its share of a core. What it reads then may be from callers that have left meanwhile.
+ * Detects recent event loop delay, as on a slow start, after a freeze or when the CPU quota is
+ * exhausted. Requests that are read then may be from callers that have given up.
  */
 export class EventLoopDelay {
-  #lateAt: number;
+  #delayedAt: number;
 
   constructor(readonly clock: Clock) {
-    this.#lateAt = clock.now();
+    this.#delayedAt = clock.now();
   }
 
-  /** @param milliseconds - how much later than it was due a timer was called */
+  /** @param milliseconds - delay of a timer beyond its due time */
   record(milliseconds: number): void {
-    if (milliseconds > LATE_MILLISECONDS) {
-      this.#lateAt = this.clock.now();
+    if (milliseconds > DELAY_THRESHOLD_MILLISECONDS) {
+      this.#delayedAt = this.clock.now();
     }
   }
 
   get isLagging(): boolean {
-    return this.clock.now() - this.#lateAt < BEHIND_MILLISECONDS;
+    return this.clock.now() - this.#delayedAt < LAGGING_MILLISECONDS;
   }
 }
--- a/packages/entry/src/events.ts
+++ b/packages/entry/src/events.ts
@@ -48,8 +48,8 @@
   /** The store answers again. */
   z.object({ event: z.literal('store-regained'), lostMilliseconds: z.number() }),
   /**
-   * The store has come back from a copy of itself: its revisions count from an earlier one. The host
-   * knew its content up to a revision of the life before.
+   * The store has come back from a copy of itself: its revisions count from an earlier one. The
+   * host knew its content up to a revision of the life before.
    */
   z.object({
     event: z.literal('store-epoch'),
@@ -59,8 +59,9 @@
     knownRevision: z.number(),
   }),
   /**
-   * This host goes by the store's next life from now on. Of these keys it keeps what it knew, since that is newer than what the store
-   * holds (`kept`) or the store does not hold them any more (`missing`).
+   * This host goes by the store's next life from now on. Of these keys it keeps what it knew, since
+   * that is newer than what the store holds (`kept`) or the store does not hold them any more
+   * (`missing`).
    */
   z.object({
     event: z.literal('store-return'),
@@ -71,7 +72,10 @@
     kept: z.array(z.string()),
     missing: z.array(z.string()),
   }),
-  /** A listing was not taken over: it ends at a revision before the one that is known. The first of a row alone has a line. */
+  /**
+   * A listing was not taken over: it ends at a revision before the one that is known. The first of
+   * a row alone has a line.
+   */
   z.object({
     event: z.literal('listing-refused'),
     epoch: z.number(),
@@ -87,7 +91,10 @@
     revision: z.number(),
     changes: z.array(z.string()),
   }),
-  /** A value could not be decoded. It names nothing, but for a configuration: the one before stays in force. */
+  /**
+   * A value could not be decoded. It names nothing, but for a configuration: the one before stays
+   * in force.
+   */
   z.object({ event: z.literal('bad-record'), key: z.string(), detail: z.string() }),
   /** A configuration is in force. */
   z.object({
@@ -148,7 +155,10 @@
     service: z.string(),
     detail: z.string(),
   }),
-  /** An answer has a header that is meant for hosts and that this one does not know; written once for each name. */
+  /**
+   * An answer has a header that is meant for hosts and that this one does not know; written once
+   * for each name.
+   */
   z.object({
     event: z.literal('unknown-header'),
     target: z.string(),
@@ -156,8 +166,9 @@
     header: z.string(),
   }),
   /**
-   * A target's connections closed before it had answered these requests. `refused`: the target has ended, and
-   * one of them may be why. `taken` and `unknown`: the answers were lost, the target lives as far as is known.
+   * A target's connections closed before it had answered these requests. `refused`: the target has
+   * ended, and one of them may be why. `taken` and `unknown`: the answers were lost, the target
+   * lives as far as is known.
    */
   z.object({
     event: z.literal('answers-lost'),
@@ -176,8 +187,8 @@
     ),
   }),
   /**
-   * A request is turned away from now on, since these targets ended under it, or no longer. The lines
-   * `answers-lost` tell which request has this fingerprint.
+   * A request is turned away from now on, since these targets ended under it, or no longer. The
+   * lines `answers-lost` tell which request has this fingerprint.
    */
   z.object({
     event: z.literal('suspect'),
@@ -201,9 +212,13 @@
     ran: z.enum(['no', 'unknown']),
     reason: z.string(),
     detail: z.string(),
-    /** Targets that asked for rest, where all that might take it did; the first few whose rest ends. */
+    /**
+     * Targets that asked for rest, where all that might take it did; the first few whose rest ends.
+     */
     resting: z.array(z.string()).optional(),
-    /** Targets whose limit is used up, where that is why; the first few that take a request again. */
+    /**
+     * Targets whose limit is used up, where that is why; the first few that take a request again.
+     */
     limited: z.array(z.string()).optional(),
     attempts: z.number(),
     milliseconds: z.number(),
--- a/packages/entry/src/fleet-member.ts
+++ b/packages/entry/src/fleet-member.ts
@@ -23,11 +23,10 @@
 import { RoutingState } from './routing/routing-state.js';
 import { WatcherSelection } from './watcher-selection.js';
 
-/** Time between two looks at what has fallen silent or vanished. */
 const SWEEP_MILLISECONDS = 200;
-/** A gap in running that is worth a line: far above what a busy host shows. */
-const PAUSE_NOTICED_MILLISECONDS = 700;
-/** Pause between two rounds of asking the seeds while nothing is known. */
+/** Event loop delay that is logged; far above that of a busy host. */
+const PAUSE_THRESHOLD_MILLISECONDS = 700;
+/** Pause between two rounds of queries to the seeds. */
 const SEED_PAUSE_MILLISECONDS = 300;
 
 export interface FleetMemberOptions {
@@ -38,36 +37,36 @@
   readonly store: FleetStore;
   readonly peerCalls: PeerCalls;
   readonly createTransport: CreateTransport;
-  /** Called a few times a second, with the milliseconds by which the call is late. */
+  /** Called a few times a second with the delay of the call. */
   readonly onSweep: (lateMilliseconds: number) => void;
-  /** Part of this host's time in which it has work, from 0 to 1. */
+  /** Event loop utilization of this host, from 0 to 1. */
   readonly utilization: () => number;
 }
 
 /**
- * One entry host's part in the fleet: what it believes of the store and of the other hosts, how it
- * comes to know, what it tells them, and the routing that follows from it.
+ * Membership of one entry host in the fleet: its view of the store and of its peers, the exchange
+ * of state with both, and the routing state that follows from it.
  */
 export class FleetMember {
   readonly view: FleetView;
   readonly state: RoutingState;
   readonly peers: PeerTable;
-  /** Keeps client accounts to their limits. */
+  /** Enforces the limits of client accounts. */
   readonly accounts: AccountLimitController;
-  /** Keeps hosts together to the limits that targets name. */
+  /** Enforces the limits that targets advertise across all hosts. */
   readonly limits: TargetLimitController;
-  /** Turns requests away that end targets. */
+  /** Rejects requests that crash targets. */
   readonly suspects: SuspectController;
-  /** Answers other hosts' calls. */
+  /** Exchanges views with peers. */
   readonly viewExchange: ViewExchange;
   readonly #options: FleetMemberOptions;
   readonly #tasks: BackgroundTasks;
-  readonly #health: StoreHealth;
+  readonly #storeHealth: StoreHealth;
   readonly #loads: PeerLoads;
   readonly #placement: PlacementController;
   readonly #exchange: PeerExchange;
-  readonly #watch: StoreWatch;
-  readonly #returns: StoreRestoreController;
+  readonly #storeWatch: StoreWatch;
+  readonly #storeRestore: StoreRestoreController;
   #registration: HostRegistration | undefined;
   #hosts: readonly EntryHostRecord[] = [];
   #hostNames: readonly string[];
@@ -80,7 +79,7 @@
     this.view = view;
     this.#hostNames = [settings.name];
     this.#tasks = new BackgroundTasks(events.logger);
-    this.#health = new StoreHealth(clock, events);
+    this.#storeHealth = new StoreHealth(clock, events);
     this.peers = new PeerTable(clock, events, (name) => this.#registeredIncarnation(name));
     this.limits = new TargetLimitController({
       ...options,
@@ -102,7 +101,7 @@
       view,
       ownName: settings.name,
       ownRegion: settings.region,
-      storeAvailableSince: () => this.#health.availableSince,
+      storeAvailableSince: () => this.#storeHealth.availableSince,
     });
     this.#loads = new PeerLoads(clock, this.state);
     this.accounts = new AccountLimitController({
@@ -137,7 +136,7 @@
       ownName: settings.name,
       ownRegion: settings.region,
     });
-    const storeAnsweredAt = (): number => this.#health.lastResponseAt;
+    const storeAnsweredAt = (): number => this.#storeHealth.lastResponseAt;
     this.viewExchange = new ViewExchange({
       ...options,
       view,
@@ -157,7 +156,7 @@
       isLeaving: () => this.#isLeaving,
       asked: () => this.#placement.ownDemand,
     });
-    const duty = new WatcherSelection({
+    const watcherSelection = new WatcherSelection({
       clock,
       view,
       isRelay: () => this.#exchange.isRelay,
@@ -165,91 +164,95 @@
       hostNames: () => this.hostNames,
       ownName: settings.name,
     });
-    this.#watch = new StoreWatch({
+    this.#storeWatch = new StoreWatch({
       ...options,
       disabledMechanisms: settings.disabledMechanisms,
       view,
-      health: this.#health,
-      isWatcher: () => duty.isWatcher,
-      relistDelayMilliseconds: () => duty.relistDelayMilliseconds,
-      queryPeers: (position, listed) => this.#returns.queryPeers(position, listed),
+      health: this.#storeHealth,
+      isWatcher: () => watcherSelection.isWatcher,
+      relistDelayMilliseconds: () => watcherSelection.relistDelayMilliseconds,
+      queryPeers: (position, listed) => this.#storeRestore.queryPeers(position, listed),
     });
-    this.#returns = new StoreRestoreController({
+    this.#storeRestore = new StoreRestoreController({
       ...options,
       view,
       viewExchange: this.viewExchange,
       hosts: () => this.#hostNames.length,
     });
     view.onRestore(() => {
-      this.#health.recordRestore();
+      this.#storeHealth.recordRestore();
       this.#registration?.recordRestore();
     });
     view.onChanges((changes) => {
       if (changes.some(({ record }) => record === undefined || record.kind === 'entryHost')) {
-        this.#takeHosts();
+        this.#updateHosts();
       }
     });
   }
 
-  /** Whether it takes no new callers. */
+  /** Whether this host has stopped accepting new callers. */
   get isLeaving(): boolean {
     return this.#isLeaving;
   }
 
-  /** Registered entry hosts; the same array while nothing changes. */
+  /** Registered entry hosts; the same array while they do not change. */
   get hosts(): readonly EntryHostRecord[] {
     return this.#hosts;
   }
 
-  /** Names of all registered entry hosts and of this one; the same array while nothing changes. */
+  /** Names of all registered hosts and of this one; the same array while they do not change. */
   get hostNames(): readonly string[] {
     return this.#hostNames;
   }
 
-  /** What the store told this host of itself. */
+  /** Progress that the store reported to this host. */
   get storeProgress(): StoreProgress {
-    return this.#watch.progress;
+    return this.#storeWatch.progress;
   }
 
-  /** Listens to other hosts and tells the address. */
+  /**
+   * Binds the socket for reports of peers.
+   *
+   * @returns the bound address
+   */
   listen(): Promise<string> {
     return this.#exchange.listen(this.#options.settings.reportAddress);
   }
 
-  /** Begins to learn, to tell and to be known. */
+  /** Joins the fleet. */
   start(own: EntryHostRecord): void {
-    this.#watch.start();
+    this.#storeWatch.start();
     this.#exchange.start(own);
     const hosts = (): number => this.#hostNames.length;
     this.#registration = new HostRegistration({ ...this.#options, host: own, hosts });
     this.#registration.start();
-    this.#tasks.start('seeds', (signal) => this.#askSeeds(signal));
+    this.#tasks.start('seeds', (signal) => this.#bootstrapFromSeeds(signal));
     this.#tasks.start('sweep', (signal) => this.#sweep(signal));
   }
 
-  /** Tells all that callers are to go elsewhere; resolves once the store knows it too. */
+  /** Announces that this host is leaving; resolves once it is deregistered. */
   async leave(): Promise<void> {
     this.#isLeaving = true;
     this.#exchange.triggerRound();
     await this.#registration?.stop();
   }
 
-  /** Ends everything at once. */
+  /** Stops all tasks immediately. */
   async close(): Promise<void> {
     await Promise.all([
       this.#tasks.stop(),
       this.#registration?.close(),
-      this.#watch.stop(),
+      this.#storeWatch.stop(),
       this.#exchange.stop(),
     ]);
     await this.#options.peerCalls.close();
   }
 
   /**
-   * Takes over all registered entry hosts, whether heard from or not: what is divided among them
-   * must not grow where one is cut off and hears nobody.
+   * Updates the host list with all registered hosts, alive or not: the shares of a divided limit
+   * must not grow at a host that is partitioned from the others.
    */
-  #takeHosts(): void {
+  #updateHosts(): void {
     this.#hosts = this.view.records('entryHost').map(({ host }) => host);
     const names = this.#hosts.map(({ name }) => name);
     this.#hostNames = [...new Set([this.#options.settings.name, ...names])];
@@ -259,43 +262,43 @@
     return this.#hosts.find((host) => host.name === name)?.incarnation;
   }
 
-  /** Learns from the seeds while nothing is known, as when the store is away. */
-  async #askSeeds(signal: AbortSignal): Promise<void> {
+  /** Fetches the view from the seeds while it is empty, as when the store is unavailable. */
+  async #bootstrapFromSeeds(signal: AbortSignal): Promise<void> {
     const { settings, clock } = this.#options;
     const seeds = settings.seedAddresses.filter((address) => address !== settings.controlAddress);
-    while (this.#mustAsk(seeds, signal)) {
+    while (this.#mustBootstrap(seeds, signal)) {
       await clock.sleep(SEED_PAUSE_MILLISECONDS, signal);
       for (const seed of seeds) {
-        if (this.#mustAsk(seeds, signal)) {
+        if (this.#mustBootstrap(seeds, signal)) {
           await this.viewExchange.fetchFrom(seed);
         }
       }
     }
   }
 
-  #mustAsk(seeds: readonly string[], signal: AbortSignal): boolean {
+  #mustBootstrap(seeds: readonly string[], signal: AbortSignal): boolean {
     return seeds.length > 0 && this.view.isEmpty && !signal.aborted;
   }
 
   async #sweep(signal: AbortSignal): Promise<void> {
     const { clock, events, onSweep } = this.#options;
-    let before = clock.now();
+    let previous = clock.now();
     while (!signal.aborted) {
       await clock.sleep(SWEEP_MILLISECONDS, signal);
       const now = clock.now();
-      const paused = now - before - SWEEP_MILLISECONDS;
-      if (paused > PAUSE_NOTICED_MILLISECONDS) {
+      const paused = now - previous - SWEEP_MILLISECONDS;
+      if (paused > PAUSE_THRESHOLD_MILLISECONDS) {
         events.write({ event: 'paused', milliseconds: Math.round(paused) });
       }
-      before = now;
+      previous = now;
       onSweep(paused);
       this.peers.sweep();
       this.#loads.sweep();
       this.accounts.sweep();
       this.limits.sweep();
       this.suspects.sweep();
-      this.#returns.sweep();
-      this.#health.recordConfirmation(this.view.confirmedAt);
+      this.#storeRestore.sweep();
+      this.#storeHealth.recordConfirmation(this.view.confirmedAt);
       this.state.sweep();
       this.#placement.sweep();
     }
--- a/packages/entry/src/metrics-text.ts
+++ b/packages/entry/src/metrics-text.ts
@@ -7,77 +7,77 @@
 const QUANTILES = [0.5, 0.9, 0.99];
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What is told of each target that names a limit: the limit, this host's part, and what was sent in the last window. */
-const LIMIT_GAUGES: readonly { name: string; figure: (one: LimitedTarget) => number }[] = [
-  { name: 'per_second', figure: ({ perSecond }) => perSecond },
-  { name: 'part_per_second', figure: ({ partPerSecond }) => partPerSecond },
-  { name: 'used', figure: ({ used }) => used },
-  { name: 'used_elsewhere', figure: ({ usedElsewhere }) => usedElsewhere },
+/** Gauges of a target that advertises a limit. */
+const LIMIT_GAUGES: readonly { name: string; value: (target: LimitedTarget) => number }[] = [
+  { name: 'per_second', value: ({ perSecond }) => perSecond },
+  { name: 'part_per_second', value: ({ partPerSecond }) => partPerSecond },
+  { name: 'used', value: ({ used }) => used },
+  { name: 'used_elsewhere', value: ({ usedElsewhere }) => usedElsewhere },
 ];
 
-/** What an entry host tells beside its counts of requests. */
+/** Metrics of an entry host other than its request counts. */
 export interface HostMetrics {
-  /** Age of the newest confirmation of its view; infinite before the first. */
+  /** Time since the last confirmation of the view; infinite before the first. */
   readonly beliefAgeMilliseconds: number;
-  /** Revision of the store up to which this host knows what it held. */
+  /** Revision of the store up to which this host knows its content. */
   readonly knownRevision: number;
-  /** What the store told of itself. */
+  /** Progress that the store reported. */
   readonly store: Pick<StoreProgress, 'epoch' | 'revision' | 'refusedListings'>;
   readonly configurationVersion: number | undefined;
   readonly peersHeard: number;
   readonly targetsKnown: number;
   readonly logLinesDropped: number;
-  /** Values of the store that could not be read, each counted once. */
+  /** Number of values in the store that could not be decoded. */
   readonly unreadableRecords: number;
-  /** Targets that ended with answers to this host outstanding. */
+  /** Number of targets that crashed while requests of this host were in flight. */
   readonly targetsEnded: number;
-  /** Rests that targets asked this host for. */
+  /** Number of rests, which are back-offs that a target requests through Retry-After. */
   readonly rests: number;
-  /** Requests that were sent to targets that had asked for rest, or said that they leave. */
+  /** Number of requests sent to targets that were resting or leaving. */
   readonly unwantedSends: number;
-  /** Targets that said in an answer that they leave. */
+  /** Number of targets that announced in a response that they are leaving. */
   readonly targetsSaidLeaving: number;
-  /** Targets that have asked this host for rest, and how much of it is left. */
+  /** Targets that are resting, with the remaining time. */
   readonly resting: readonly RestingTarget[];
-  /** Limits that targets named, raised or lowered in answers to this host. */
+  /** Number of changes of limits that targets advertised to this host. */
   readonly limits: number;
-  /** Requests that were sent to targets while these named a limit. */
+  /** Number of requests sent to targets that advertise a limit. */
   readonly limitedSends: number;
-  /** Targets that name a limit, and which. */
+  /** Targets that advertise a limit. */
   readonly limited: readonly LimitedTarget[];
-  /** Requests that are turned away since targets end under them. */
+  /** Number of distinct requests that are rejected because they crash targets. */
   readonly suspectRequests: number;
 }
 
-/** Figures of an entry host in the Prometheus text format. */
-export function metricsText(metrics: RequestMetrics, figures: HostMetrics): string {
+/** Formats the metrics of an entry host in the Prometheus text format. */
+export function metricsText(metrics: RequestMetrics, host: HostMetrics): string {
   const lines = [
     ...gauge('requests_in_flight', metrics.inFlight),
-    ...gauge('belief_age_seconds', figures.beliefAgeMilliseconds / MILLISECONDS_PER_SECOND),
-    ...gauge('store_epoch', figures.store.epoch),
-    ...gauge('store_revision', figures.store.revision),
-    ...gauge('known_revision', figures.knownRevision),
-    ...counter('refused_listings_total', figures.store.refusedListings),
-    ...gauge('configuration_version', figures.configurationVersion ?? 0),
-    ...gauge('peers_heard', figures.peersHeard),
-    ...gauge('targets_known', figures.targetsKnown),
+    ...gauge('belief_age_seconds', host.beliefAgeMilliseconds / MILLISECONDS_PER_SECOND),
+    ...gauge('store_epoch', host.store.epoch),
+    ...gauge('store_revision', host.store.revision),
+    ...gauge('known_revision', host.knownRevision),
+    ...counter('refused_listings_total', host.store.refusedListings),
+    ...gauge('configuration_version', host.configurationVersion ?? 0),
+    ...gauge('peers_heard', host.peersHeard),
+    ...gauge('targets_known', host.targetsKnown),
     ...counter('retries_total', metrics.retries),
-    ...counter('log_lines_dropped_total', figures.logLinesDropped),
-    ...counter('unreadable_records_total', figures.unreadableRecords),
-    ...counter('targets_ended_total', figures.targetsEnded),
-    ...gauge('suspect_requests', figures.suspectRequests),
-    ...counter('rests_total', figures.rests),
-    ...counter('unwanted_sends_total', figures.unwantedSends),
-    ...counter('targets_said_leaving_total', figures.targetsSaidLeaving),
+    ...counter('log_lines_dropped_total', host.logLinesDropped),
+    ...counter('unreadable_records_total', host.unreadableRecords),
+    ...counter('targets_ended_total', host.targetsEnded),
+    ...gauge('suspect_requests', host.suspectRequests),
+    ...counter('rests_total', host.rests),
+    ...counter('unwanted_sends_total', host.unwantedSends),
+    ...counter('targets_said_leaving_total', host.targetsSaidLeaving),
     '# TYPE ferrylock_target_rest_seconds gauge',
-    ...figures.resting.map(restLine),
-    ...counter('limits_total', figures.limits),
-    ...counter('limited_sends_total', figures.limitedSends),
-    ...LIMIT_GAUGES.flatMap(({ name, figure }) => [
+    ...host.resting.map(restLine),
+    ...counter('limits_total', host.limits),
+    ...counter('limited_sends_total', host.limitedSends),
+    ...LIMIT_GAUGES.flatMap(({ name, value }) => [
       `# TYPE ferrylock_target_limit_${name} gauge`,
-      ...figures.limited.map(
+      ...host.limited.map(
         (one) =>
-          `ferrylock_target_limit_${name}{service="${one.service}",target="${one.target}"} ${figure(one)}`,
+          `ferrylock_target_limit_${name}{service="${one.service}",target="${one.target}"} ${value(one)}`,
       ),
     ]),
     '# TYPE ferrylock_requests_total counter',
@@ -92,7 +92,7 @@
 }
 
 function gauge(name: string, value: number): string[] {
-  return [`# TYPE ferrylock_${name} gauge`, `ferrylock_${name} ${number(value)}`];
+  return [`# TYPE ferrylock_${name} gauge`, `ferrylock_${name} ${formatNumber(value)}`];
 }
 
 function counter(name: string, value: number): string[] {
@@ -122,7 +122,7 @@
   return `ferrylock_target_rest_seconds{service="${service}",target="${target}"} ${seconds}`;
 }
 
-/** The format's own word for infinity. */
-function number(value: number): string {
+/** Formats a number, with infinity as the text format spells it. */
+function formatNumber(value: number): string {
   return Number.isFinite(value) ? String(value) : '+Inf';
 }
--- a/packages/entry/src/utilization-meter.ts
+++ b/packages/entry/src/utilization-meter.ts
@@ -1,17 +1,17 @@
 import { performance } from 'node:perf_hooks';
 
-/** Weight of the newest sample: at five samples a second, the last second counts most. */
+/** Weight of the newest sample in the moving average. */
 const SAMPLE_WEIGHT = 0.28;
 
-/** Time that the event loop has been idle and active so far; a type of Node.js, in milliseconds. */
+/** Cumulative idle and active time of the event loop, in milliseconds. */
 export type LoopTimes = Pick<
   ReturnType<typeof performance.eventLoopUtilization>,
   'idle' | 'active'
 >;
 
 /**
- * The part of its time in which this process has work, lately. Where the host gives the process a
- * share of a core, waiting for the share counts as work: at 1 the process can take no more.
+ * Moving average of the event loop utilization. Time in which the process is throttled by its CPU
+ * quota counts as active, so at 1 the process is saturated.
  */
 export class UtilizationMeter {
   readonly #read: () => LoopTimes;
@@ -28,7 +28,7 @@
     return this.#utilization;
   }
 
-  /** To be called some five times a second. */
+  /** Takes a sample; called about five times a second. */
   sample(): void {
     const times = this.#read();
     const active = times.active - this.#last.active;
