--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -62,7 +62,7 @@
   readonly #directory: Directory;
   readonly #trafficServer: TrafficServer;
   readonly #controlServer: ControlServer;
-  #registration: EntryHostRecord | undefined;
+  #record: EntryHostRecord | undefined;
   #largeHosts: { readonly of: readonly EntryHostRecord[]; readonly names: readonly string[] };
 
   constructor(options: EntryHostOptions) {
@@ -106,9 +106,9 @@
       view,
       peers,
       own: () =>
-        this.#member.isLeaving || this.#registration === undefined
+        this.#member.isLeaving || this.#record === undefined
           ? undefined
-          : { host: this.#registration, utilization: this.#utilizationMeter.utilization },
+          : { host: this.#record, utilization: this.#utilizationMeter.utilization },
       maxTtlMilliseconds: settings.maxDirectoryTtlMilliseconds,
     });
     const forwarder = new RequestForwarder({
@@ -154,14 +154,12 @@
 
   /** Whether this host accepts callers. */
   get isReady(): boolean {
-    return (
-      this.state.active !== undefined && !this.#member.isLeaving && this.#registration !== undefined
-    );
+    return this.state.active !== undefined && !this.#member.isLeaving && this.#record !== undefined;
   }
 
   /** Registration with the bound ports; undefined before the start. */
   get addresses(): EntryHostRecord | undefined {
-    return this.#registration;
+    return this.#record;
   }
 
   /** Metrics in the Prometheus text format. */
@@ -206,7 +204,7 @@
     const controlAddress = await this.#controlServer.listen(settings.controlAddress);
     const trafficAddress = await this.#trafficServer.listen(settings.trafficAddress);
     const { name, failureDomain, region, capacity } = settings;
-    this.#registration = {
+    this.#record = {
       name,
       incarnation: this.incarnation,
       failureDomain,
@@ -216,7 +214,7 @@
       reportAddress,
       capacity,
     };
-    this.#member.start(this.#registration);
+    this.#member.start(this.#record);
     this.#tasks.start('summary', (signal) => this.#logSummaries(signal));
     const startMilliseconds = Math.round(process.uptime() * 1_000);
     events.write({ event: 'started', incarnation: this.incarnation, startMilliseconds });
--- a/packages/entry/src/events.ts
+++ b/packages/entry/src/events.ts
@@ -1,7 +1,7 @@
 import type { Logger } from '@ferrylock/utils';
 import { z } from 'zod';
 
-/** Requests of one client account since the start. */
+/** Request counts of one client account since the start. */
 const accountRowSchema = z.object({
   account: z.string(),
   served: z.number(),
@@ -9,48 +9,45 @@
   overLimit: z.number(),
 });
 
-/** Fields that each line about a request has. */
+/** Fields of every event about a request. */
 const requestFields = {
   requestId: z.string(),
   route: z.string().optional(),
-  /** Name of the client account that it comes from. */
+  /** Name of the client account. */
   account: z.string().optional(),
-  /** Version of the configuration that it was treated by. */
+  /** Version of the configuration that applied to the request. */
   version: z.number().optional(),
 };
 
 /**
- * Every line that an entry host writes. One event stands for one decision or one change of what
- * the host believes; its fields are the inputs that decided it.
+ * Events in the log of an entry host. Each stands for one decision or one change of the host's
+ * state, with the inputs that determined it.
  */
 export const eventSchema = z.discriminatedUnion('event', [
-  /** The process serves. */
+  /** The process has started to serve. */
   z.object({
     event: z.literal('started'),
     incarnation: z.string(),
     startMilliseconds: z.number(),
   }),
-  /** A planned stop has begun. */
+  /** A graceful shutdown has begun. */
   z.object({ event: z.literal('stopping'), inFlight: z.number() }),
-  /** A planned stop is over. */
+  /** A graceful shutdown has ended. */
   z.object({
     event: z.literal('stopped'),
     cut: z.number(),
-    /** Requests of the largest client accounts and of the worst served. */
+    /** The client accounts with the most requests and those with the most failures. */
     accounts: z.array(accountRowSchema),
   }),
-  /** The settings were read again. */
+  /** The settings were reloaded. */
   z.object({ event: z.literal('reloaded') }),
-  /** The process did not run for a while. */
+  /** The event loop was blocked or the process was frozen. */
   z.object({ event: z.literal('paused'), milliseconds: z.number() }),
-  /** A call to the store failed, and the one before had not. */
+  /** The store has become unavailable. */
   z.object({ event: z.literal('store-lost'), call: z.string(), detail: z.string() }),
-  /** The store answers again. */
+  /** The store is available again. */
   z.object({ event: z.literal('store-regained'), lostMilliseconds: z.number() }),
-  /**
-   * The store has come back from a copy of itself: its revisions count from an earlier one. The
-   * host knew its content up to a revision of the life before.
-   */
+  /** The store reports a new epoch: it was restored from a snapshot. */
   z.object({
     event: z.literal('store-epoch'),
     epoch: z.number(),
@@ -59,9 +56,8 @@
     knownRevision: z.number(),
   }),
   /**
-   * This host goes by the store's next life from now on. Of these keys it keeps what it knew, since
-   * that is newer than what the store holds (`kept`) or the store does not hold them any more
-   * (`missing`).
+   * The view has entered a new epoch of the store. It retains the records of keys that are older in
+   * the restored store (`kept`) or absent from it (`missing`).
    */
   z.object({
     event: z.literal('store-return'),
@@ -72,19 +68,16 @@
     kept: z.array(z.string()),
     missing: z.array(z.string()),
   }),
-  /**
-   * A listing was not taken over: it ends at a revision before the one that is known. The first of
-   * a row alone has a line.
-   */
+  /** A listing was rejected as outdated; only the first in a row is logged. */
   z.object({
     event: z.literal('listing-refused'),
     epoch: z.number(),
     revision: z.number(),
     knownRevision: z.number(),
   }),
-  /** What the store says in a header is not known or cannot be read; written once for each name. */
+  /** A header of the store is unknown or unreadable; logged once for each name. */
   z.object({ event: z.literal('store-header'), header: z.string(), detail: z.string() }),
-  /** What the host believes of the store's content has moved on. */
+  /** The view has received changes from the store. */
   z.object({
     event: z.literal('view'),
     source: z.string(),
@@ -92,18 +85,18 @@
     changes: z.array(z.string()),
   }),
   /**
-   * A value could not be decoded. It names nothing, but for a configuration: the one before stays
-   * in force.
+   * A value could not be decoded. It is treated as absent, except for a configuration: the previous
+   * one stays in force.
    */
   z.object({ event: z.literal('bad-record'), key: z.string(), detail: z.string() }),
-  /** A configuration is in force. */
+  /** A configuration has taken effect. */
   z.object({
     event: z.literal('configuration'),
     version: z.number(),
     routes: z.number(),
     accounts: z.number(),
   }),
-  /** Another entry host is heard from, or no longer. */
+  /** A peer has become alive, or has timed out. */
   z.object({
     event: z.literal('peer'),
     peer: z.string(),
@@ -111,11 +104,11 @@
     alive: z.boolean(),
     silentMilliseconds: z.number(),
   }),
-  /** A target may be chosen, or no longer, and why. */
+  /** The eligibility of a target has changed. */
   z.object({
     event: z.literal('target'),
     target: z.string(),
-    /** This start of it, where it tells when it began. */
+    /** Incarnation of the target, if it reports when it started. */
     start: z.string().optional(),
     service: z.string(),
     state: z.enum([
@@ -134,7 +127,7 @@
     ]),
     detail: z.string().optional(),
   }),
-  /** One send to one target ended without a usable answer. */
+  /** An attempt at one target ended without a usable response. */
   z.object({
     event: z.literal('try-failed'),
     ...requestFields,
@@ -144,21 +137,18 @@
     ran: z.enum(['no', 'unknown']),
     reason: z.string(),
     detail: z.string(),
-    /** Requests that the target was taken to have. */
+    /** Estimated number of requests in flight at the target. */
     load: z.number(),
     beliefAgeMilliseconds: z.number(),
   }),
-  /** What a target said of itself in an answer could not be read; it counts as not said. */
+  /** A header in which a target reports its state could not be read and was ignored. */
   z.object({
     event: z.literal('unreadable-answer'),
     target: z.string(),
     service: z.string(),
     detail: z.string(),
   }),
-  /**
-   * An answer has a header that is meant for hosts and that this one does not know; written once
-   * for each name.
-   */
+  /** A response has an unknown header addressed to hosts; logged once for each name. */
   z.object({
     event: z.literal('unknown-header'),
     target: z.string(),
@@ -166,9 +156,9 @@
     header: z.string(),
   }),
   /**
-   * A target's connections closed before it had answered these requests. `refused`: the target has
-   * ended, and one of them may be why. `taken` and `unknown`: the answers were lost, the target
-   * lives as far as is known.
+   * The connections to a target closed before it responded to these requests. `refused`: the target
+   * has crashed, possibly because of one of them. `taken` and `unknown`: only the responses were
+   * lost.
    */
   z.object({
     event: z.literal('answers-lost'),
@@ -177,7 +167,7 @@
     connection: z.enum(['refused', 'taken', 'unknown']),
     requests: z.array(
       z.object({
-        /** The same for each try of the same request, whatever its id and wherever it comes. */
+        /** Equal for all attempts of the same request, regardless of its id and the host. */
         fingerprint: z.string(),
         requestId: z.string(),
         route: z.string(),
@@ -187,8 +177,8 @@
     ),
   }),
   /**
-   * A request is turned away from now on, since these targets ended under it, or no longer. The
-   * lines `answers-lost` tell which request has this fingerprint.
+   * A request is rejected from now on because these targets crashed during it, or no longer. The
+   * request with this fingerprint is in an `answers-lost` event.
    */
   z.object({
     event: z.literal('suspect'),
@@ -196,7 +186,7 @@
     state: z.enum(['suspected', 'cleared']),
     targets: z.array(z.string()),
   }),
-  /** What the store is to hold about such a request; not written where another host was first. */
+  /** A suspect record for the store; not written if another host was first. */
   z.object({
     event: z.literal('suspect-record'),
     fingerprint: z.string(),
@@ -204,7 +194,7 @@
     isWritten: z.boolean(),
     detail: z.string(),
   }),
-  /** A request got no target's answer. */
+  /** A request was refused without a target's response. */
   z.object({
     event: z.literal('refused'),
     ...requestFields,
@@ -212,19 +202,15 @@
     ran: z.enum(['no', 'unknown']),
     reason: z.string(),
     detail: z.string(),
-    /**
-     * Targets that asked for rest, where all that might take it did; the first few whose rest ends.
-     */
+    /** Resting targets, if all eligible ones rest; the first few whose rest ends. */
     resting: z.array(z.string()).optional(),
-    /**
-     * Targets whose limit is used up, where that is why; the first few that take a request again.
-     */
+    /** Targets whose limit is exhausted, if that is the cause; the first few to recover. */
     limited: z.array(z.string()).optional(),
     attempts: z.number(),
     milliseconds: z.number(),
     beliefAgeMilliseconds: z.number(),
   }),
-  /** A request was answered by a target, but late or after more than one try. */
+  /** A target answered a request late or after more than one attempt. */
   z.object({
     event: z.literal('answered'),
     ...requestFields,
@@ -234,11 +220,13 @@
     milliseconds: z.number(),
     load: z.number(),
   }),
-  /** Where a service's keys are served now, and what that follows from. */
+  /** The placement of a service's keys, with its inputs. */
   z.object({
     event: z.literal('placement'),
     service: z.string(),
-    /** Part of the keys that stay in each region, with what its callers ask for in a second. */
+    /**
+     * Fraction of the keys served in their own region, with the demand per second of its callers.
+     */
     regions: z.array(
       z.object({
         region: z.string(),
@@ -248,7 +236,7 @@
       }),
     ),
   }),
-  /** Ordinary answers since the last such line. */
+  /** Periodic counts of requests. */
   z.object({
     event: z.literal('summary'),
     answered: z.number(),
@@ -259,8 +247,8 @@
 
 export type EntryEvent = z.infer<typeof eventSchema>;
 
-/** Lines about requests that are written in a second; more are counted and left out. */
-const MOST_REQUEST_LINES_PER_SECOND = 50;
+/** Events about requests beyond this rate are dropped and counted. */
+const MAX_REQUEST_EVENTS_PER_SECOND = 50;
 
 const REQUEST_EVENTS: ReadonlySet<EntryEvent['event']> = new Set([
   'try-failed',
@@ -268,7 +256,7 @@
   'answered',
   'unreadable-answer',
 ]);
-/** States of targets that requests bring about; the others come from records, which are few. */
+/** Target states that are caused by requests rather than by records in the store. */
 const REQUEST_STATES: ReadonlySet<string> = new Set([
   'failing',
   'distrusted',
@@ -276,8 +264,8 @@
   'unlimited',
 ]);
 
-/** Whether lines like it come as often as requests do. */
-function isOfRequest(event: EntryEvent): boolean {
+/** Whether events of this type can be as frequent as requests. */
+function isRequestEvent(event: EntryEvent): boolean {
   return (
     REQUEST_EVENTS.has(event.event) ||
     (event.event === 'target' && REQUEST_STATES.has(event.state)) ||
@@ -286,45 +274,42 @@
   );
 }
 
-/**
- * Bytes that may wait for a reader that does not read, some 1,000 lines; writing never waits, so
- * they would fill the memory.
- */
-const MOST_BACKLOG_BYTES = 256 * 1024;
+/** Bounds the memory for output that is not read, since writes do not block. */
+const MAX_BACKLOG_BYTES = 256 * 1024;
 
-/** Writes events as JSON lines, those about requests at a bounded rate. */
+/** Writes events as JSON lines; events about requests are rate limited. */
 export class EventLog {
-  /** Lines left out so far. */
+  /** Number of dropped events. */
   dropped = 0;
-  /** Values of the store that could not be read so far. */
+  /** Number of `bad-record` events. */
   unreadable = 0;
-  #linesLeft = MOST_REQUEST_LINES_PER_SECOND;
+  #requestEventsLeft = MAX_REQUEST_EVENTS_PER_SECOND;
 
-  /** @param backlogBytes - what was written and is not read yet */
+  /** @param backlogBytes - size of the output that has not been read yet */
   constructor(
     readonly logger: Logger,
     readonly backlogBytes: () => number = () => 0,
   ) {}
 
-  write(written: EntryEvent): void {
-    this.unreadable += Number(written.event === 'bad-record');
-    if (this.backlogBytes() > MOST_BACKLOG_BYTES) {
+  write(event: EntryEvent): void {
+    this.unreadable += Number(event.event === 'bad-record');
+    if (this.backlogBytes() > MAX_BACKLOG_BYTES) {
       this.dropped++;
       return;
     }
-    if (isOfRequest(written)) {
-      if (this.#linesLeft <= 0) {
+    if (isRequestEvent(event)) {
+      if (this.#requestEventsLeft <= 0) {
         this.dropped++;
         return;
       }
-      this.#linesLeft--;
+      this.#requestEventsLeft--;
     }
-    const { event, ...fields } = written;
-    this.logger.info(event, fields);
+    const { event: name, ...fields } = event;
+    this.logger.info(name, fields);
   }
 
-  /** A second has passed. */
+  /** Refills the rate limit; called once a second. */
   refill(): void {
-    this.#linesLeft = MOST_REQUEST_LINES_PER_SECOND;
+    this.#requestEventsLeft = MAX_REQUEST_EVENTS_PER_SECOND;
   }
 }
