--- a/packages/entry/src/events.ts
+++ b/packages/entry/src/events.ts
@@ -36,7 +36,7 @@
   z.object({
     event: z.literal('stopped'),
     cut: z.number(),
-    /** The client accounts with the most requests and those with the most failures. */
+    /** The client accounts with the most requests and those with the lowest success rate. */
     accounts: z.array(accountRowSchema),
   }),
   /** The settings were reloaded. */
--- a/packages/entry/tests/directory.test.ts
+++ b/packages/entry/tests/directory.test.ts
@@ -11,7 +11,7 @@
   readonly region?: string;
 }
 
-/** Hosts of one region, all of them heard; names begin with `large` or `small`. */
+/** Makes a fleet of live hosts in one region; names begin with `large` or `small`. */
 function makeFleet({ large = 4, small = 20, region = 'jylland' }: FleetOptions = {}) {
   const clock = new FakeClock();
   const { log } = captureEvents();
@@ -33,13 +33,10 @@
     ),
   );
   let sequence = 0;
-  const report = (utilization: number, heard = names): void => {
+  const report = (utilization: number, reporting = names): void => {
     sequence++;
-    for (const name of heard) {
-      peers.update(
-        { name, incarnation: 'first', sequence, leaving: false, utilization: utilization },
-        'itself',
-      );
+    for (const name of reporting) {
+      peers.update({ name, incarnation: 'first', sequence, leaving: false, utilization }, 'itself');
     }
   };
   report(0.1);
@@ -49,51 +46,51 @@
     own: () => undefined,
     maxTtlMilliseconds: 5_000,
   });
-  const told = (caller = region): string[] => [...directory.answer(caller).trafficAddresses];
-  return { clock, peers, names, report, told };
+  const listed = (caller = region): string[] => [...directory.answer(caller).trafficAddresses];
+  return { clock, peers, names, report, listed };
 }
 
 describe('Directory', () => {
-  it('tells the large hosts alone while they have room for all', () => {
-    const { told } = makeFleet();
-    expect(told()).toEqual(['large-0', 'large-1', 'large-2', 'large-3']);
+  it('lists only the large hosts while they have capacity for all callers', () => {
+    const { listed } = makeFleet();
+    expect(listed()).toEqual(['large-0', 'large-1', 'large-2', 'large-3']);
   });
 
-  it('tells all hosts from when the large ones would be too full, and keeps to it for a while', () => {
-    const { told, report, names } = makeFleet();
+  it('lists all hosts once the large ones would be overloaded, with hysteresis', () => {
+    const { listed, report, names } = makeFleet();
     report(0.4);
-    expect(told()).toEqual(names);
+    expect(listed()).toEqual(names);
     report(0.2);
-    expect(told()).toEqual(names);
+    expect(listed()).toEqual(names);
     report(0.1);
-    expect(told()).toHaveLength(4);
+    expect(listed()).toHaveLength(4);
     report(0.2);
-    expect(told()).toHaveLength(4);
+    expect(listed()).toHaveLength(4);
   });
 
-  it('tells all hosts where too few are large', () => {
-    const { told, names } = makeFleet({ large: 2, small: 5 });
-    expect(told()).toEqual(names);
+  it('lists all hosts if too few are large', () => {
+    const { listed, names } = makeFleet({ large: 2, small: 5 });
+    expect(listed()).toEqual(names);
   });
 
-  it('tells all hosts where all are alike', () => {
-    const { told, names } = makeFleet({ large: 0, small: 4 });
-    expect(told()).toEqual(names);
+  it('lists all hosts if none is larger than the others', () => {
+    const { listed, names } = makeFleet({ large: 0, small: 4 });
+    expect(listed()).toEqual(names);
   });
 
-  it('leaves out hosts that fell silent', async () => {
-    const { clock, peers, told, report, names } = makeFleet();
+  it('omits hosts that timed out', async () => {
+    const { clock, peers, listed, report, names } = makeFleet();
     await clock.advance(PEER_TIMEOUT_MILLISECONDS + 1);
     report(
       0.1,
       names.filter((name) => name !== 'large-2'),
     );
     peers.sweep();
-    expect(told()).toEqual(['large-0', 'large-1', 'large-3']);
+    expect(listed()).toEqual(['large-0', 'large-1', 'large-3']);
   });
 
-  it('sends callers elsewhere where their region has no host', () => {
-    const { told } = makeFleet();
-    expect(told('fyn')).toHaveLength(4);
+  it('lists hosts of other regions if the caller’s region has none', () => {
+    const { listed } = makeFleet();
+    expect(listed('fyn')).toHaveLength(4);
   });
 });
--- a/packages/entry/tests/event-loop-delay.test.ts
+++ b/packages/entry/tests/event-loop-delay.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 import { EventLoopDelay } from '../src/event-loop-delay.js';
 
-describe('RunDelay', () => {
-  it('counts a process as behind for a while after its start and after a gap in running', async () => {
+describe('EventLoopDelay', () => {
+  it('reports a process as lagging for some time after its start and after a delay', async () => {
     const clock = new FakeClock();
     const delay = new EventLoopDelay(clock);
     expect(delay.isLagging).toBe(true);
--- a/packages/entry/tests/events.test.ts
+++ b/packages/entry/tests/events.test.ts
@@ -40,7 +40,7 @@
     ['a refused request', REFUSED, 50],
     ['a failing target', FAILING, 50],
     ['a record that vanished', VANISHED, 80],
-  ])('writes a bounded number of lines a second about %s', (_case, event, expected) => {
+  ])('writes a bounded number of events a second about %s', (_case, event, expected) => {
     const { lines, log } = makeLog();
     writeMany(log, event, 80);
     expect(lines).toHaveLength(expected);
@@ -55,7 +55,7 @@
     expect(lines).toHaveLength(60);
   });
 
-  it('leaves lines out, and counts them, while nobody reads what was written', () => {
+  it('drops and counts events while the output is not read', () => {
     const { lines, backlog, log } = makeLog();
     backlog.bytes = 300_000;
     writeMany(log, VANISHED, 5);
--- a/packages/entry/tests/fixtures.ts
+++ b/packages/entry/tests/fixtures.ts
@@ -68,7 +68,7 @@
   return { key: 'configuration', revision, record: { kind: 'configuration', configuration } };
 }
 
-/** Routing by a view, in the region `jylland`. */
+/** Makes the routing state of a host in the region `jylland`. */
 export function makeRoutingState(clock: Clock, view: FleetView, events: EventLog): RoutingState {
   return new RoutingState({
     clock,
@@ -86,7 +86,7 @@
   });
 }
 
-/** Keeps accounts to their limits at a host that is alone. */
+/** Makes the account limit controller of a single host. */
 export function makeAccountDuty(clock: Clock): AccountLimitController {
   return new AccountLimitController({
     clock,
@@ -100,7 +100,7 @@
   });
 }
 
-/** Keeps to targets' limits at a host that is alone and knows no target. */
+/** Makes the target limit controller of a single host that knows no targets. */
 export function makeLimitDuty(clock: Clock, events: EventLog): TargetLimitController {
   return new TargetLimitController({
     clock,
@@ -116,7 +116,7 @@
   });
 }
 
-/** Turns suspects away at a host that is alone. */
+/** Makes the suspect controller of a single host. */
 export function makeSuspectDuty(clock: Clock, events: EventLog): SuspectController {
   return new SuspectController({
     clock,
@@ -130,7 +130,7 @@
   });
 }
 
-/** An event log that keeps what is written to it. */
+/** Makes an event log that records its events. */
 export function captureEvents(): { log: EventLog; events: EntryEvent[] } {
   const events: EntryEvent[] = [];
   const log = new EventLog({
@@ -142,7 +142,7 @@
   return { log, events };
 }
 
-/** A look-up on its way, as far as those need it who do not answer it. */
+/** Makes a routed request without a body. */
 export function makeExchange(changes: Partial<RoutedExchange> = {}): RoutedExchange {
   const request = Object.assign(new IncomingMessage(new Socket()), { method: 'GET' });
   return {
--- a/packages/entry/tests/fleet-member.test.ts
+++ b/packages/entry/tests/fleet-member.test.ts
@@ -1,7 +1,6 @@
 /**
- * Load: a fleet whose hosts mostly have no callers, as where a customer runs hundreds of small ones.
- * What a host does for the others is to follow from what changes and not from how many there are.
- * The figures are bounds some way above what was measured, 65 hosts, in counts and not in time.
+ * Guards against membership overhead that grows with the number of hosts rather than with the rate
+ * of changes, in a fleet whose hosts mostly have no callers.
  */
 import { EntryFleet, FakeClock } from '@ferrylock/test-utils';
 import { describe, expect, it } from 'vitest';
@@ -27,15 +26,15 @@
   return { clock, fleet };
 }
 
-/** How many hosts take this one for serving. */
-function believers(fleet: EntryFleet, name: string): number {
+/** Number of hosts that consider a host to be serving. */
+function countHostsSeeing(fleet: EntryFleet, name: string): number {
   return fleet.hosts.filter(({ member }) => {
     const record = member.hosts.find((host) => host.name === name);
     return record !== undefined && member.peers.isServing(record);
   }).length;
 }
 
-describe('a fleet of hosts that have no callers', { timeout: TEST_MILLISECONDS }, () => {
+describe('a fleet of hosts without callers', { timeout: TEST_MILLISECONDS }, () => {
   it('starts with few calls between hosts and one listing each', async () => {
     const { fleet } = await makeFleet();
     expect(fleet.hosts.every(({ member }) => member.hosts.length === HOSTS)).toBe(true);
@@ -43,7 +42,7 @@
     expect(fleet.counts.calls).toBeLessThan(8 * HOSTS);
   });
 
-  it('wakes each host some 20 times a second and sends it 5 KB at most', async () => {
+  it('bounds the wake-ups, bytes and datagrams of each host', async () => {
     const { clock, fleet } = await makeFleet();
     const before = { ...fleet.counts };
     await clock.advance(5_000);
@@ -53,49 +52,49 @@
     expect((fleet.counts.datagrams - before.datagrams) / each).toBeLessThan(12);
   });
 
-  it('leaves a host out everywhere that died, member or relay', async () => {
+  it('removes a failed host everywhere, whether it was a relay or not', async () => {
     const { clock, fleet } = await makeFleet();
     for (const index of [HOSTS - 1, 0]) {
       const dead = fleet.hosts[index];
-      expect(believers(fleet, dead?.record.name ?? '')).toBeGreaterThanOrEqual(HOSTS - 2);
+      expect(countHostsSeeing(fleet, dead?.record.name ?? '')).toBeGreaterThanOrEqual(HOSTS - 2);
       void dead?.member.close();
       fleet.hosts.splice(index, 1);
       await clock.advance(3_500);
-      expect(believers(fleet, dead?.record.name ?? '')).toBe(0);
+      expect(countHostsSeeing(fleet, dead?.record.name ?? '')).toBe(0);
     }
-    const others = fleet.hosts.map(({ record }) => believers(fleet, record.name));
+    const others = fleet.hosts.map(({ record }) => countHostsSeeing(fleet, record.name));
     expect(Math.min(...others)).toBeGreaterThanOrEqual(fleet.hosts.length - 1);
   });
 
-  it('leaves a host out everywhere within a second after it said that it leaves', async () => {
+  it('removes a host everywhere within a second after it announced its leaving', async () => {
     const { clock, fleet } = await makeFleet();
     const leaving = fleet.hosts[HOSTS - 1];
     void leaving?.member.leave();
     await clock.advance(1_000);
     const others = fleet.hosts.filter((host) => host !== leaving);
     const name = leaving?.record.name ?? '';
-    const believing = others.filter(({ member }) =>
+    const hostsSeeing = others.filter(({ member }) =>
       member.hosts.some((host) => host.name === name && member.peers.isServing(host)),
     );
-    expect(believing).toEqual([]);
+    expect(hostsSeeing).toEqual([]);
   });
 
-  it('agrees on what each region asks for, in parts of a request', async () => {
+  it('agrees on the demand of each region to a fraction of a request', async () => {
     const { clock, fleet } = await makeFleet();
     fleet.addCallers(9, 300);
     await clock.advance(12_000);
     const sums = fleet.hosts.map(({ member }) =>
       [...(member.peers.regionDemand?.values() ?? [])]
-        .flatMap((asked) => Object.values(asked))
+        .flatMap((demand) => Object.values(demand))
         .reduce((sum, rate) => sum + rate, 0),
     );
-    const told = sums.filter((sum) => sum > 0);
-    expect(told.length).toBeGreaterThan(HOSTS / 2);
-    expect(told.reduce((sum, rate) => sum + rate, 0) / told.length).toBeGreaterThan(9 - REGIONS);
-    expect(told.reduce((sum, rate) => sum + rate, 0) / told.length).toBeLessThan(9 + REGIONS);
+    const rates = sums.filter((sum) => sum > 0);
+    expect(rates.length).toBeGreaterThan(HOSTS / 2);
+    expect(rates.reduce((sum, rate) => sum + rate, 0) / rates.length).toBeGreaterThan(9 - REGIONS);
+    expect(rates.reduce((sum, rate) => sum + rate, 0) / rates.length).toBeLessThan(9 + REGIONS);
   });
 
-  it('has all hosts know a new target within half a second', async () => {
+  it('propagates a new target to all hosts within half a second', async () => {
     const { clock, fleet } = await makeFleet();
     const [id = ''] = fleet.addTargets(1);
     await clock.advance(500);
--- a/packages/entry/tests/fleet/fleet-view.test.ts
+++ b/packages/entry/tests/fleet/fleet-view.test.ts
@@ -3,16 +3,16 @@
 import { FleetView } from '../../src/index.js';
 import { configurationChange, hostChange, targetChange } from '../fixtures.js';
 
-function gone(key: string, revision: number): FleetChange {
+function deletion(key: string, revision: number): FleetChange {
   return { key, revision };
 }
 
-function idsIn(view: FleetView): string[] {
+function targetIds(view: FleetView): string[] {
   return view.records('target').map(({ target }) => target.id);
 }
 
 describe('FleetView', () => {
-  it('takes changes on in whatever order they come, and never goes back', () => {
+  it('applies changes in any order and never reverts to an older one', () => {
     const view = new FleetView();
     const newer = configurationChange(9, { version: 9 });
     const older = configurationChange(5, { version: 5 });
@@ -22,23 +22,23 @@
     expect(view.revision).toBe(9);
   });
 
-  it('refuses changes after a revision that it has not reached', () => {
+  it('refuses a delta that starts after its revision', () => {
     const view = new FleetView();
     view.replace({ revision: 4 }, []);
-    const isTaken = view.apply({ afterRevision: 6, revision: 7, changes: [targetChange(7)] });
-    expect(isTaken).toBe(false);
-    expect(idsIn(view)).toEqual([]);
+    const isApplied = view.apply({ afterRevision: 6, revision: 7, changes: [targetChange(7)] });
+    expect(isApplied).toBe(false);
+    expect(targetIds(view)).toEqual([]);
   });
 
-  it('does not bring back what was removed later', () => {
+  it('does not restore a record that was deleted later', () => {
     const view = new FleetView();
     view.apply({ afterRevision: 0, revision: 3, changes: [targetChange(3)] });
-    view.apply({ afterRevision: 3, revision: 5, changes: [gone('targets/target-1', 5)] });
+    view.apply({ afterRevision: 3, revision: 5, changes: [deletion('targets/target-1', 5)] });
     view.apply({ afterRevision: 0, revision: 3, changes: [targetChange(3)] });
-    expect(idsIn(view)).toEqual([]);
+    expect(targetIds(view)).toEqual([]);
   });
 
-  it('takes what a listing lacks as gone, but for what is newer than the listing', () => {
+  it('deletes records that a listing lacks, except for newer ones', () => {
     const view = new FleetView();
     view.apply({
       afterRevision: 0,
@@ -46,20 +46,20 @@
       changes: [targetChange(2, { id: 'old' }), targetChange(6, { id: 'new' })],
     });
     view.replace({ revision: 6 }, [targetChange(6, { id: 'new' })]);
-    expect(idsIn(view)).toEqual(['new']);
+    expect(targetIds(view)).toEqual(['new']);
   });
 
-  it('claims no change that a listing does not cover', () => {
+  it('does not advance its last change beyond a listing', () => {
     const view = new FleetView();
     view.apply({ afterRevision: 0, revision: 6, changes: [targetChange(6)] });
     view.replace({ revision: 6 }, []);
     expect(view.lastChange).toEqual({ epoch: 0, revision: 6 });
     const delta = { afterRevision: 6, revision: 7, changes: [targetChange(7, { id: 'new' })] };
     expect(view.apply(delta)).toBe(true);
-    expect(idsIn(view)).toEqual(['new']);
+    expect(targetIds(view)).toEqual(['new']);
   });
 
-  it('hands on what it found gone to those who knew it', () => {
+  it('propagates deletions that it found in a listing', () => {
     const view = new FleetView();
     view.replace({ revision: 3 }, [targetChange(2)]);
     const other = new FleetView();
@@ -71,17 +71,17 @@
     } else {
       other.apply(delta);
     }
-    expect(idsIn(other)).toEqual([]);
+    expect(targetIds(other)).toEqual([]);
   });
 
-  it('ignores a listing that is older than what it knows', () => {
+  it('ignores an outdated listing', () => {
     const view = new FleetView();
     view.replace({ revision: 8 }, [targetChange(8)]);
     view.replace({ revision: 7 }, []);
-    expect(idsIn(view)).toEqual(['target-1']);
+    expect(targetIds(view)).toEqual(['target-1']);
   });
 
-  it('hands out what leads from one revision to its own', () => {
+  it('provides the delta between a revision and its own', () => {
     const view = new FleetView();
     view.replace({ revision: 2 }, [targetChange(1)]);
     view.apply({ afterRevision: 2, revision: 4, changes: [targetChange(4, { id: 'target-2' })] });
@@ -90,11 +90,11 @@
     const delta = view.deltaSince({ revision: 2 });
     expect(delta?.changes).toHaveLength(1);
     expect(delta !== undefined && other.apply(delta)).toBe(true);
-    expect(idsIn(other)).toEqual(idsIn(view));
+    expect(targetIds(other)).toEqual(targetIds(view));
     expect(view.deltaSince({ revision: 1 })).toBeUndefined();
   });
 
-  it('is confirmed only by who knows its newest change', () => {
+  it('is confirmed only at its newest change', () => {
     const view = new FleetView();
     view.replace({ revision: 5 }, [hostChange(5)]);
     view.confirm({ revision: 4 }, 100);
@@ -104,13 +104,13 @@
     expect(view.confirmedAt).toBe(100);
   });
 
-  it('tells listeners only what is new', () => {
+  it('notifies listeners only of new changes', () => {
     const view = new FleetView();
-    const told: string[][] = [];
-    view.onChanges((changes) => told.push(changes.map(({ key }) => key)));
+    const notified: string[][] = [];
+    view.onChanges((changes) => notified.push(changes.map(({ key }) => key)));
     view.replace({ revision: 2 }, [targetChange(1)]);
     view.apply({ afterRevision: 0, revision: 2, changes: [targetChange(1)] });
     view.replace({ revision: 3 }, []);
-    expect(told).toEqual([['targets/target-1'], ['targets/target-1']]);
+    expect(notified).toEqual([['targets/target-1'], ['targets/target-1']]);
   });
 });
--- a/packages/entry/tests/fleet/large-hosts.test.ts
+++ b/packages/entry/tests/fleet/large-hosts.test.ts
@@ -16,7 +16,7 @@
     [1, 0.6],
   ],
   [[], []],
-])('of hosts of %j cores, those of %j are large', (capacities, expected) => {
+])('among hosts with %j cores, those with %j are large', (capacities, expected) => {
   const hosts = capacities.map((capacity) => makeHostRecord({ capacity }));
   expect(largeHosts(hosts, (host) => host).map(({ capacity }) => capacity)).toEqual(expected);
 });
--- a/packages/entry/tests/fleet/restore-fleet.ts
+++ b/packages/entry/tests/fleet/restore-fleet.ts
@@ -2,7 +2,7 @@
 import { EntryFleet, FakeClock, makeTargetRecord } from '@ferrylock/test-utils';
 
 const SETTLE_MILLISECONDS = 5_000;
-const AWAY_MILLISECONDS = 1_500;
+const OUTAGE_MILLISECONDS = 1_500;
 const SAMPLE_MILLISECONDS = 50;
 
 export async function makeFleet(options: Partial<EntryFleetOptions> = {}) {
@@ -27,31 +27,35 @@
 export interface RestoreOptions {
   readonly clock: FakeClock;
   readonly fleet: EntryFleet;
-  /** What is written after the copy was taken. */
-  readonly since?: () => Promise<void> | void;
-  readonly awayMilliseconds?: number;
+  /** Writes to the store after the snapshot was taken. */
+  readonly afterSnapshot?: () => Promise<void> | void;
+  readonly outageMilliseconds?: number;
   readonly isHistoryLost?: boolean;
 }
 
-/** The store goes away and comes back from a copy; the function given back has others write again what they had written. */
+/**
+ * Restores the store from a snapshot after an outage.
+ *
+ * @returns a function that has writers rewrite the lost records
+ */
 export async function restoreFromSnapshot({
   clock,
   fleet,
-  since = () => undefined,
-  awayMilliseconds = AWAY_MILLISECONDS,
+  afterSnapshot = () => undefined,
+  outageMilliseconds = OUTAGE_MILLISECONDS,
   isHistoryLost = false,
 }: RestoreOptions): Promise<() => void> {
-  const copy = fleet.store.takeCopy();
-  await since();
+  const snapshot = fleet.store.takeCopy();
+  await afterSnapshot();
   await clock.advance(1_000);
   fleet.store.setAway(true);
-  await clock.advance(awayMilliseconds);
-  const writeAgain = fleet.store.restore(copy);
+  await clock.advance(outageMilliseconds);
+  const rewrite = fleet.store.restore(snapshot);
   if (isHistoryLost) {
     fleet.store.forgetHistory();
   }
   fleet.store.setAway(false);
-  return writeAgain;
+  return rewrite;
 }
 
 export function versions(fleet: EntryFleet): (number | undefined)[] {
@@ -62,7 +66,7 @@
   return fleet.hosts.map(() => value);
 }
 
-/** Whether each host would send requests to a target. */
+/** Names of the hosts that would send requests to a target. */
 export function hostsUsing(fleet: EntryFleet, id: string): string[] {
   return fleet.hosts
     .filter(({ member }) => {
@@ -72,7 +76,7 @@
     .map(({ record }) => record.name);
 }
 
-/** Looks at something again and again for a time. */
+/** Takes samples at a fixed interval. */
 export async function collectSamples<T>(
   clock: FakeClock,
   milliseconds: number,
@@ -103,18 +107,18 @@
   fleet.store.put(`targets/${id}`, { kind: 'target', target });
 }
 
-/** The store comes back with a target as ready that said since the copy that it leaves, and whose record had gone by then or not. */
-export async function restoreWithLeavingTarget({ isGone }: { readonly isGone: boolean }) {
+/** Restores a snapshot in which a target is ready that has announced its leaving afterwards. */
+export async function restoreWithLeavingTarget({ isDeleted }: { readonly isDeleted: boolean }) {
   const { clock, fleet } = await makeFleet();
   putTarget(fleet, 'leaver', 'ready', 1);
   await clock.advance(1_000);
-  const since = async (): Promise<void> => {
+  const afterSnapshot = async (): Promise<void> => {
     putTarget(fleet, 'leaver', 'draining', 9);
     await clock.advance(2_500);
-    if (isGone) {
+    if (isDeleted) {
       fleet.store.remove('targets/leaver');
     }
   };
-  await restoreFromSnapshot({ clock, fleet, since });
+  await restoreFromSnapshot({ clock, fleet, afterSnapshot });
   return { clock, fleet };
 }
--- a/packages/entry/tests/fleet/store-health.test.ts
+++ b/packages/entry/tests/fleet/store-health.test.ts
@@ -3,7 +3,7 @@
 import { StoreHealth } from '../../src/fleet/store-health.js';
 import { captureEvents } from '../fixtures.js';
 
-async function makeLost() {
+async function makeUnavailable() {
   const clock = new FakeClock();
   const { log, events } = captureEvents();
   const health = new StoreHealth(clock, log);
@@ -13,8 +13,8 @@
 }
 
 describe('StoreHealth', () => {
-  it('is lost until a call succeeds', async () => {
-    const { clock, health } = await makeLost();
+  it('is unavailable until a call succeeds', async () => {
+    const { clock, health } = await makeUnavailable();
     expect(health.availableSince).toBe(Infinity);
     await clock.advance(500);
     health.recordSuccess(clock.now());
@@ -22,8 +22,8 @@
     expect(health.isUnavailable).toBe(false);
   });
 
-  it('is regained by what others were answered, for a host that makes no calls itself', async () => {
-    const { clock, health } = await makeLost();
+  it('is available again once the store responds to another host', async () => {
+    const { clock, health } = await makeUnavailable();
     await clock.advance(500);
     health.recordConfirmation(900);
     expect(health.isUnavailable).toBe(true);
@@ -32,8 +32,8 @@
     expect(health.availableSince).toBe(1_500);
   });
 
-  it('writes one line for each loss and each return', async () => {
-    const { clock, events, health } = await makeLost();
+  it('logs one event for each outage and each recovery', async () => {
+    const { clock, events, health } = await makeUnavailable();
     health.recordFailure('list', 'no answer');
     health.recordSuccess(clock.now());
     health.recordSuccess(clock.now());
--- a/packages/entry/tests/fleet/store-restore.test.ts
+++ b/packages/entry/tests/fleet/store-restore.test.ts
@@ -1,7 +1,6 @@
 /**
- * Incident: the platform's store came back from a copy some seconds old, and hosts went on by the revisions that they knew from before. On
- * 98f0271 a confirmed change and a target's farewell were then at no host until the store's count had passed the former one, and the
- * hosts that watch read everything again and again without a pause.
+ * Guards against hosts that ignore changes after a restore of the store, because its revisions are
+ * lower than those known, and against watchers that relist without a pause.
  */
 import { describe, expect, it } from 'vitest';
 import {
@@ -15,36 +14,36 @@
   versions,
 } from './restore-fleet.js';
 
-/** By when a change is to be in force, and hosts' records to be back. */
+/** Bound on the propagation of changes and on the registration of lost hosts. */
 const IN_FORCE_MILLISECONDS = 2_000;
-/** Silent targets' records go from the store after this. */
-const THREE_HEARTBEATS_MILLISECONDS = 4_500;
-/** Hosts that read everything anew after a return, whatever the size of the fleet. */
-const MOST_LISTINGS = 10;
+/** Time after which records of unavailable targets are deleted. */
+const RECORD_EXPIRY_MILLISECONDS = 4_500;
+/** Bound on listings after a restore, for any size of the fleet. */
+const MAX_LISTINGS = 10;
 const TEST_MILLISECONDS = 120_000;
 
-describe('after the store came back from a copy', { timeout: TEST_MILLISECONDS }, () => {
-  const storms = [
+describe('after a restore of the store from a snapshot', { timeout: TEST_MILLISECONDS }, () => {
+  const cases = [
     { hosts: 4, domains: 2, changes: 1 },
     { hosts: 12, domains: 6, changes: 3 },
     { hosts: 12, domains: 6, changes: 40 },
     { hosts: 75, domains: 6, changes: 3 },
   ];
-  it.each(storms)(
-    'a change that is confirmed then is in force at all of $hosts hosts within 2 s, $changes changes having been lost',
+  it.each(cases)(
+    'a confirmed change is in force at all of $hosts hosts within 2 s, with $changes lost changes',
     async ({ hosts, domains, changes }) => {
       const { clock, fleet } = await makeFleet({ hosts, domains });
-      const writeAgain = await restoreFromSnapshot({
+      const rewrite = await restoreFromSnapshot({
         clock,
         fleet,
-        since: () => {
+        afterSnapshot: () => {
           for (let version = 4; version < 4 + changes; version++) {
             fleet.configure(version);
           }
         },
       });
       await clock.advance(300);
-      writeAgain();
+      rewrite();
       await clock.advance(700);
       fleet.configure(100);
       await clock.advance(IN_FORCE_MILLISECONDS);
@@ -52,14 +51,14 @@
     },
   );
 
-  it('a target that says then that it leaves gets no new work from any host within 2 s', async () => {
+  it('a target that announces its leaving receives no new requests after 2 s', async () => {
     const { clock, fleet } = await makeFleet();
     putTarget(fleet, 'leaver', 'ready', 1);
     await clock.advance(1_000);
     await restoreFromSnapshot({
       clock,
       fleet,
-      since: () => {
+      afterSnapshot: () => {
         fleet.configure(4);
         fleet.configure(5);
       },
@@ -75,7 +74,7 @@
     { hosts: 75, domains: 6, isHistoryLost: false },
     { hosts: 75, domains: 6, isHistoryLost: true },
   ])(
-    'few of $hosts hosts read everything anew, once (history lost: $isHistoryLost)',
+    'few of $hosts hosts list the store again (history lost: $isHistoryLost)',
     async ({ hosts, domains, isHistoryLost }) => {
       const { clock, fleet } = await makeFleet({ hosts, domains });
       const before = fleet.store.calls.list;
@@ -83,22 +82,22 @@
         clock,
         fleet,
         isHistoryLost,
-        since: () => {
+        afterSnapshot: () => {
           fleet.configure(4);
           fleet.configure(5);
         },
       });
       await clock.advance(10_000);
-      expect(fleet.store.calls.list - before).toBeLessThanOrEqual(MOST_LISTINGS);
+      expect(fleet.store.calls.list - before).toBeLessThanOrEqual(MAX_LISTINGS);
     },
   );
 
-  it('no host goes back to an older configuration, though the store holds one for seconds', async () => {
+  it('no host reverts to the older configuration in the store', async () => {
     const { clock, fleet } = await makeFleet();
-    const writeAgain = await restoreFromSnapshot({
+    const rewrite = await restoreFromSnapshot({
       clock,
       fleet,
-      since: () => {
+      afterSnapshot: () => {
         fleet.configure(4);
       },
     });
@@ -106,18 +105,18 @@
       Math.min(...versions(fleet).map(Number)),
     );
     expect(Math.min(...samples)).toBe(4);
-    writeAgain();
+    rewrite();
     fleet.configure(5);
     await clock.advance(IN_FORCE_MILLISECONDS);
     expect(versions(fleet)).toEqual(allOf(fleet, 5));
   });
 
-  it('a host that starts then never serves the older configuration that the store holds', async () => {
+  it('a host that starts never serves the older configuration in the store', async () => {
     const { clock, fleet } = await makeFleet();
     await restoreFromSnapshot({
       clock,
       fleet,
-      since: () => {
+      afterSnapshot: () => {
         fleet.configure(4);
       },
     });
@@ -129,39 +128,39 @@
   });
 
   it.each([1, 2])(
-    'a host that was cut off from all through %i of its returns knows what the others know within 2 s',
-    async (returns) => {
+    'a host that was partitioned during %i restores catches up within 2 s',
+    async (restores) => {
       const { clock, fleet } = await makeFleet();
       fleet.setCut(0, true);
       fleet.setStoreCut(0, true);
-      for (let index = 0; index < returns; index++) {
-        const since = (): void => {
+      for (let index = 0; index < restores; index++) {
+        const afterSnapshot = (): void => {
           fleet.configure(4 + index);
         };
-        const writeAgain = await restoreFromSnapshot({ clock, fleet, since });
+        const rewrite = await restoreFromSnapshot({ clock, fleet, afterSnapshot });
         await clock.advance(1_000);
-        if (index < returns - 1) {
-          writeAgain();
+        if (index < restores - 1) {
+          rewrite();
         }
       }
       fleet.setStoreCut(0, false);
       await clock.advance(1_000);
       fleet.setCut(0, false);
       await clock.advance(IN_FORCE_MILLISECONDS);
-      expect(versions(fleet)).toEqual(allOf(fleet, 3 + returns));
+      expect(versions(fleet)).toEqual(allOf(fleet, 3 + restores));
     },
   );
 
   it.each([1, 2, 3, 4])(
-    'hosts that the store has forgotten are in it again within 2 s, and nobody leaves them out meanwhile (seed %i)',
+    'hosts that the store has lost register within 2 s and stay known meanwhile (seed %i)',
     async (seed) => {
       const { clock, fleet } = await makeFleet({ seed });
-      const since = async (): Promise<void> => {
+      const afterSnapshot = async (): Promise<void> => {
         fleet.addHost();
         fleet.addHost();
         await clock.advance(3_000);
       };
-      await restoreFromSnapshot({ clock, fleet, since, awayMilliseconds: 0 });
+      await restoreFromSnapshot({ clock, fleet, afterSnapshot, outageMilliseconds: 0 });
       const known = await collectSamples(clock, IN_FORCE_MILLISECONDS, () =>
         Math.min(...fleet.hosts.map(({ member }) => member.hostNames.length)),
       );
@@ -172,31 +171,31 @@
     },
   );
 
-  it('a host that does not come back is given up by all, also by one that starts then and hears of it from the others', async () => {
+  it('all hosts drop a host that does not return, including one that learned of it from peers', async () => {
     const { clock, fleet } = await makeFleet();
-    const since = async (): Promise<void> => {
+    const afterSnapshot = async (): Promise<void> => {
       fleet.addHost();
       await clock.advance(3_000);
     };
-    await restoreFromSnapshot({ clock, fleet, since });
+    await restoreFromSnapshot({ clock, fleet, afterSnapshot });
     const [gone] = fleet.hosts.splice(-1);
     await Promise.all([gone?.member.close(), clock.advance(700)]);
     fleet.addHost(20);
     await clock.advance(1_000);
-    const knowing = (): number =>
+    const hostsKnowing = (): number =>
       fleet.hosts.filter(({ member }) => member.hostNames.includes('host-12')).length;
-    expect(knowing()).toBe(fleet.hosts.length);
+    expect(hostsKnowing()).toBe(fleet.hosts.length);
     await clock.advance(20_000);
-    expect(knowing()).toBe(0);
+    expect(hostsKnowing()).toBe(0);
   });
 
-  it('no lease of its former life is renewed or ended, whose number may be another host’s by now', async () => {
+  it('no lease of a previous epoch is renewed or revoked, as its id may belong to another host', async () => {
     const { clock, fleet } = await makeFleet();
-    const since = async (): Promise<void> => {
+    const afterSnapshot = async (): Promise<void> => {
       fleet.addHost();
       await clock.advance(3_000);
     };
-    await restoreFromSnapshot({ clock, fleet, since });
+    await restoreFromSnapshot({ clock, fleet, afterSnapshot });
     await clock.advance(1_000);
     const learnedAt = clock.now();
     void fleet.hosts.at(-1)?.member.leave();
@@ -204,9 +203,9 @@
     expect(fleet.store.formerLeaseCalls.filter((at) => at > learnedAt)).toEqual([]);
   });
 
-  it('a target that left is not used again since the copy still has it', async () => {
-    const { clock, fleet } = await restoreWithLeavingTarget({ isGone: true });
-    const used = await collectSamples(clock, THREE_HEARTBEATS_MILLISECONDS, () =>
+  it('a target that left is not used again because the snapshot contains it', async () => {
+    const { clock, fleet } = await restoreWithLeavingTarget({ isDeleted: true });
+    const used = await collectSamples(clock, RECORD_EXPIRY_MILLISECONDS, () =>
       hostsUsing(fleet, 'leaver'),
     );
     fleet.store.remove('targets/leaver');
@@ -214,47 +213,47 @@
     expect(used.flat()).toEqual([]);
   });
 
-  it('a target that is leaving is not free again since the copy has an older record of its start', async () => {
-    const { clock, fleet } = await restoreWithLeavingTarget({ isGone: false });
+  it('a leaving target is not used again because the snapshot has an older record of it', async () => {
+    const { clock, fleet } = await restoreWithLeavingTarget({ isDeleted: false });
     const used = await collectSamples(clock, 2_000, () => hostsUsing(fleet, 'leaver'));
     fleet.addHost();
     used.push(...(await collectSamples(clock, 2_000, () => hostsUsing(fleet, 'leaver'))));
     expect(used.flat()).toEqual([]);
   });
 
-  it('a target that left is not free again where the copy’s record of it outlasts all who might write again', async () => {
-    const { clock, fleet } = await restoreWithLeavingTarget({ isGone: true });
+  it('a target that left is not used again while its record in the snapshot outlasts the grace period', async () => {
+    const { clock, fleet } = await restoreWithLeavingTarget({ isDeleted: true });
     const used = await collectSamples(clock, 12_000, () => hostsUsing(fleet, 'leaver'));
     expect(used.flat()).toEqual([]);
   });
 
-  it('an evacuation that was asked for since the copy goes on, and one that was ended does not begin again', async () => {
+  it('an evacuation after the snapshot continues, and one that ended does not resume', async () => {
     const { clock, fleet } = await makeFleet();
     fleet.store.put('evacuate/domain-1', { kind: 'evacuation', failureDomain: 'domain-1' });
     await clock.advance(1_000);
-    const since = (): void => {
+    const afterSnapshot = (): void => {
       fleet.store.remove('evacuate/domain-1');
       fleet.store.put('evacuate/domain-0', { kind: 'evacuation', failureDomain: 'domain-0' });
     };
-    const writeAgain = await restoreFromSnapshot({ clock, fleet, since });
+    const rewrite = await restoreFromSnapshot({ clock, fleet, afterSnapshot });
     const evacuated = (): string[] =>
       fleet.hosts.flatMap(({ member }) => [...member.state.evacuatedDomains]);
     const expected = allOf(fleet, 'domain-0');
     const before = await collectSamples(clock, 1_500, evacuated);
-    writeAgain();
+    rewrite();
     const after = await collectSamples(clock, 6_000, evacuated);
     expect([...before, ...after].filter((domains) => domains.join() !== expected.join())).toEqual(
       [],
     );
   });
 
-  it('and does not say so, a change that is confirmed then is in force within 4 s, and nobody reads without a pause', async () => {
+  it('that is not reported, a confirmed change is in force within 4 s, without listings in a loop', async () => {
     const { clock, fleet } = await makeFleet();
     fleet.store.epoch = undefined;
     await restoreFromSnapshot({
       clock,
       fleet,
-      since: () => {
+      afterSnapshot: () => {
         for (let version = 4; version < 20; version++) {
           fleet.configure(version);
         }
--- a/packages/entry/tests/fleet/store-watch.test.ts
+++ b/packages/entry/tests/fleet/store-watch.test.ts
@@ -10,23 +10,23 @@
 import { FleetView } from '../../src/index.js';
 import { configurationChange, captureEvents, targetChange } from '../fixtures.js';
 
-type Answer = Result<FleetChanges, FleetStoreFailure>;
+type StoreResult = Result<FleetChanges, FleetStoreFailure>;
 
-/** A store whose answers to listings and waits are given one by one; later waits hang. */
+/** A store with scripted responses to listings and watches; further watches hang. */
 class ScriptedStore implements FleetStore {
-  listings: Answer[] = [];
-  waits: Answer[] = [];
+  listings: StoreResult[] = [];
+  waits: StoreResult[] = [];
   calls: string[] = [];
 
-  list(): Promise<Answer> {
+  list(): Promise<StoreResult> {
     this.calls.push('list');
     return Promise.resolve(this.listings.shift() ?? Err(failure('not-done')));
   }
 
-  waitForChanges(afterRevision: number): Promise<Answer> {
+  waitForChanges(afterRevision: number): Promise<StoreResult> {
     this.calls.push(`wait ${afterRevision}`);
-    const answer = this.waits.shift();
-    return answer === undefined ? new Promise(() => undefined) : Promise.resolve(answer);
+    const result = this.waits.shift();
+    return result === undefined ? new Promise(() => undefined) : Promise.resolve(result);
   }
 
   register = () => Promise.resolve(Err(failure('not-done')));
@@ -46,7 +46,11 @@
   const store = new ScriptedStore();
   const view = new FleetView();
   const health = new StoreHealth(clock, log);
-  const duty = { isNeeded: true, turnMilliseconds: 0, takeTold: (): void => undefined };
+  const peerState = {
+    isWatcher: true,
+    relistDelayMilliseconds: 0,
+    applyPeerRecords: (): void => undefined,
+  };
   const watch = new StoreWatch({
     clock,
     random: new SeededRandom(1),
@@ -55,11 +59,11 @@
     view,
     health,
     disabledMechanisms: NO_DISABLED_MECHANISMS,
-    isWatcher: () => duty.isNeeded,
-    relistDelayMilliseconds: () => duty.turnMilliseconds,
-    queryPeers: () => Promise.resolve(duty.takeTold),
+    isWatcher: () => peerState.isWatcher,
+    relistDelayMilliseconds: () => peerState.relistDelayMilliseconds,
+    queryPeers: () => Promise.resolve(peerState.applyPeerRecords),
   });
-  return { clock, events, store, view, health, duty, watch };
+  return { clock, events, store, view, health, peerState, watch };
 }
 
 describe('StoreWatch', () => {
@@ -67,7 +71,7 @@
 
   afterEach(() => stop?.());
 
-  it('reads everything, then waits for changes after it', async () => {
+  it('lists the store, then watches for changes', async () => {
     const { clock, store, view, watch } = makeWatch();
     store.listings = [Ok({ revision: 7, changes: [targetChange(7)] })];
     store.waits = [Ok({ revision: 9, changes: [targetChange(9, { id: 'target-2' })] })];
@@ -77,7 +81,7 @@
     expect(view.records('target')).toHaveLength(2);
   });
 
-  it('reads everything again where the history is lost', async () => {
+  it('lists the store again if the history is lost', async () => {
     const { clock, store, view, watch } = makeWatch();
     store.listings = [
       Ok({ revision: 7, changes: [targetChange(7)] }),
@@ -90,7 +94,7 @@
     expect(view.records('target')).toEqual([]);
   });
 
-  it('pauses after a failure, keeps what it knows, and says when the store is back', async () => {
+  it('pauses after a failure, keeps its view and logs when the store is available again', async () => {
     const { clock, store, view, watch, events, health } = makeWatch();
     store.listings = [Ok({ revision: 7, changes: [targetChange(7)] })];
     store.waits = [
@@ -113,15 +117,15 @@
     ]);
   });
 
-  it('leaves the store alone while others watch', async () => {
-    const { clock, store, duty, watch } = makeWatch();
-    duty.isNeeded = false;
+  it('makes no calls while other hosts watch', async () => {
+    const { clock, store, peerState, watch } = makeWatch();
+    peerState.isWatcher = false;
     watch.start();
     await clock.advance(5_000);
     expect(store.calls).toEqual([]);
   });
 
-  it('writes down that the store came back from a copy, with the revisions of both its lives', async () => {
+  it('logs a restore with the revisions of both epochs', async () => {
     const { clock, store, watch, events } = makeWatch();
     store.listings = [
       Ok({ epoch: 1, revision: 7, changes: [targetChange(7)] }),
@@ -136,7 +140,7 @@
     ]);
   });
 
-  it('takes a listing that ends before what it knew when it asked for a return that the store does not tell of', async () => {
+  it('treats a listing that ends before the known revision as an unreported restore', async () => {
     const { clock, store, view, watch } = makeWatch();
     store.listings = [
       Ok({ revision: 7, changes: [targetChange(7)] }),
@@ -150,7 +154,7 @@
     expect(view.records('target').map(({ target }) => target.id)).toEqual(['target-2']);
   });
 
-  it('refuses a listing that others have overtaken meanwhile, and writes that down', async () => {
+  it('rejects a listing that updates of peers have overtaken, and logs that', async () => {
     const { clock, store, view, watch, events } = makeWatch();
     store.listings = [Ok({ revision: 7, changes: [targetChange(7)] })];
     store.waits = [Err(failure('history-lost'))];
@@ -169,7 +173,7 @@
     ]);
   });
 
-  it('reads everything anew where an answer is of another of the store’s lives than the numbers that it was asked by', async () => {
+  it('relists if a response belongs to another epoch than the requested revision', async () => {
     const { clock, store, view, watch } = makeWatch();
     store.listings = [
       Ok({ epoch: 1, revision: 7, changes: [targetChange(7)] }),
@@ -182,10 +186,10 @@
     expect(view.records('target').map(({ target }) => target.id)).toEqual(['target-2']);
   });
 
-  it('takes what others know beyond the first listing together with it, so that nothing is decided by the listing alone', async () => {
-    const { clock, store, view, duty, watch } = makeWatch();
+  it('applies the records of peers together with the first listing', async () => {
+    const { clock, store, view, peerState, watch } = makeWatch();
     const versions: (number | undefined)[] = [];
-    duty.takeTold = () => {
+    peerState.applyPeerRecords = () => {
       versions.push(view.records('configuration')[0]?.configuration.version);
       const kept = { ...configurationChange(9, { version: 4 }), epoch: 1_000 };
       view.apply({
@@ -206,9 +210,9 @@
     expect(view.records('configuration')[0]?.configuration.version).toBe(4);
   });
 
-  it('leaves it to others to read everything anew, and goes on where they have told it', async () => {
-    const { clock, store, view, duty, watch } = makeWatch();
-    duty.turnMilliseconds = 900;
+  it('does not relist if a peer provides the new state first', async () => {
+    const { clock, store, view, peerState, watch } = makeWatch();
+    peerState.relistDelayMilliseconds = 900;
     store.listings = [Ok({ epoch: 1, revision: 7, changes: [targetChange(7)] })];
     store.waits = [Err({ ...failure('history-lost'), epoch: 2 })];
     watch.start();
@@ -219,28 +223,28 @@
   });
 
   it.each([
-    { told: undefined, revision: 9, changes: ['target-1', 'target-2'] },
-    { told: 1, revision: 9, changes: ['target-1', 'target-2'] },
+    { reported: undefined, revision: 9, changes: ['target-1', 'target-2'] },
+    { reported: 1, revision: 9, changes: ['target-1', 'target-2'] },
   ])(
-    'goes on by revisions where the store tells of $told returns after 3, and loses nothing',
-    async ({ told, revision, changes }) => {
+    'goes on by revisions if the store reports epoch $reported after 3, and loses nothing',
+    async ({ reported, revision, changes }) => {
       const { clock, store, view, watch, events } = makeWatch();
       const target = targetChange(9, { id: 'target-2' });
       store.listings = [Ok({ epoch: 3, revision: 7, changes: [targetChange(7)] })];
       store.waits = [
-        Ok({ epoch: told, revision, changes: [target] }),
-        Ok({ epoch: told, revision, changes: [] }),
+        Ok({ epoch: reported, revision, changes: [target] }),
+        Ok({ epoch: reported, revision, changes: [] }),
       ];
       watch.start();
       await clock.advance(1_000);
       expect(store.calls).toEqual(['list', 'wait 7', 'wait 9', 'wait 9']);
       expect(view.records('target').map((record) => record.target.id)).toEqual(changes);
       const lines = events.filter(({ event }) => event === 'store-header');
-      expect(lines).toHaveLength(told === undefined ? 0 : 1);
+      expect(lines).toHaveLength(reported === undefined ? 0 : 1);
     },
   );
 
-  it('asks a store that has forgotten everything and says so each time twice a second at most', async () => {
+  it('bounds the rate of listings if the store has lost its history each time', async () => {
     const { clock, store, watch } = makeWatch();
     const listing = Ok({ revision: 7, changes: [targetChange(7)] });
     store.listings = Array.from({ length: 1_000 }, () => listing);
--- a/packages/entry/tests/fleet/view-restore.test.ts
+++ b/packages/entry/tests/fleet/view-restore.test.ts
@@ -1,4 +1,4 @@
-/** What a host makes of news of several lives of the store, in whatever order they come. */
+/** Checks updates from several epochs of the store in any order. */
 import { randomIndex, SeededRandom } from '@ferrylock/utils';
 import type { Random } from '@ferrylock/utils';
 import { describe, expect, it } from 'vitest';
@@ -8,7 +8,7 @@
 import type { StorePosition } from '../../src/fleet/store-position.js';
 import { configurationChange, hostChange, targetChange } from '../fixtures.js';
 
-/** Beside the first ones, those that showed what the first ones did not. */
+/** The last ones cover orders that the first ones do not. */
 const SEEDS = [...Array.from({ length: 200 }, (_, index) => index + 1), 891, 1059, 2064, 2262];
 const STEPS = 120;
 
@@ -20,18 +20,18 @@
   return view.records('configuration')[0]?.configuration.version;
 }
 
-/** What the copy holds. */
+/** Content of the snapshot. */
 const LISTED = [
   configurationChange(3, { version: 3 }),
   targetChange(2, { bornAt: 1, sequence: 1 }),
   hostChange(1, { name: 'old' }),
 ];
 
-/** A host that knew version 4 when the store came back with version 3. */
-function makeReturned() {
+/** A view that knew version 4 when the store was restored with version 3. */
+function makeRestored() {
   const view = new FleetView();
-  const returns: StoreRestore[] = [];
-  view.onRestore((returned) => returns.push(returned));
+  const restores: StoreRestore[] = [];
+  view.onRestore((restore) => restores.push(restore));
   view.replace(
     { epoch: 1, revision: 3 },
     LISTED.map((change) => at(1, change)),
@@ -51,15 +51,15 @@
     { epoch: 2, revision: 5 },
     LISTED.map((change) => at(2, change)),
   );
-  return { view, returns };
+  return { view, restores };
 }
 
-function namesIn(view: FleetView): string[] {
+function hostNames(view: FleetView): string[] {
   return view.records('entryHost').map(({ host }) => host.name);
 }
 
-/** Has one host learn from another what a call between them carries. */
-function learn(from: FleetView, to: FleetView): void {
+/** Updates one view from another as a call between hosts does. */
+function syncFrom(from: FleetView, to: FleetView): void {
   const isFurther = to.epoch > from.epoch;
   const delta = isFurther || to.isEmpty ? undefined : from.deltaSince(to.position);
   if (delta === undefined) {
@@ -70,9 +70,9 @@
   }
 }
 
-describe('FleetView of a store that came back from a copy', () => {
-  it('goes by the next life, though its revisions are lower', () => {
-    const { view, returns } = makeReturned();
+describe('FleetView of a restored store', () => {
+  it('enters the next epoch although its revisions are lower', () => {
+    const { view, restores } = makeRestored();
     expect(view.position).toEqual({ epoch: 2, revision: 5 });
     view.apply({
       afterEpoch: 2,
@@ -82,7 +82,7 @@
       changes: [at(2, configurationChange(6, { version: 5 }))],
     });
     expect(versionOf(view)).toBe(5);
-    expect(returns).toMatchObject([
+    expect(restores).toMatchObject([
       {
         previous: { epoch: 1, revision: 9 },
         position: { epoch: 2, revision: 5 },
@@ -92,11 +92,11 @@
     ]);
   });
 
-  it('keeps what is newer by its own numbers, and the hosts that the copy lacks, until they are written again or all have had time to', () => {
-    const { view } = makeReturned();
+  it('retains records with newer versions and lost hosts until they are rewritten or the grace period ends', () => {
+    const { view } = makeRestored();
     expect(versionOf(view)).toBe(4);
     expect(view.records('target')[0]?.target.state).toBe('draining');
-    expect(namesIn(view)).toEqual(['old', 'new']);
+    expect(hostNames(view)).toEqual(['old', 'new']);
     const mark = view.retainedDigest;
     expect(mark).toBeDefined();
     const written = [
@@ -113,12 +113,12 @@
     expect(view.retained.map(({ key }) => key)).toEqual(['hosts/new']);
     expect(view.retainedDigest).not.toBe(mark);
     view.reconcile();
-    expect(namesIn(view)).toEqual(['old']);
+    expect(hostNames(view)).toEqual(['old']);
     expect([versionOf(view), view.retainedDigest]).toEqual([4, undefined]);
   });
 
-  it('never gives up a configuration that is not written again', () => {
-    const { view } = makeReturned();
+  it('never drops a configuration that is not rewritten', () => {
+    const { view } = makeRestored();
     view.reconcile();
     view.replace({ epoch: 2, revision: 8 }, [at(2, configurationChange(3, { version: 3 }))]);
     expect(versionOf(view)).toBe(4);
@@ -127,8 +127,8 @@
     expect(versionOf(view)).toBe(4);
   });
 
-  it('takes from news of a life that is over only what is newer by its own numbers', () => {
-    const { view } = makeReturned();
+  it('applies only records with newer versions from a past epoch', () => {
+    const { view } = makeRestored();
     view.apply({
       afterEpoch: 1,
       afterRevision: 8,
@@ -142,10 +142,10 @@
     });
     expect(view.position).toEqual({ epoch: 2, revision: 5 });
     expect(versionOf(view)).toBe(5);
-    expect(namesIn(view)).toEqual(['old', 'new']);
+    expect(hostNames(view)).toEqual(['old', 'new']);
   });
 
-  it('does not believe a listing that brings back what was gone, until it outlasts those who would write it', () => {
+  it('ignores records that a listing restores after their deletion, until the grace period ends', () => {
     const view = new FleetView();
     view.replace({ epoch: 1, revision: 3 }, [
       at(1, targetChange(2)),
@@ -160,7 +160,7 @@
       at(2, targetChange(2)),
       at(2, hostChange(3, { name: 'left' })),
     ]);
-    expect([view.records('target'), namesIn(view)]).toEqual([[], []]);
+    expect([view.records('target'), hostNames(view)]).toEqual([[], []]);
     view.apply({
       afterEpoch: 2,
       afterRevision: 4,
@@ -169,10 +169,10 @@
       changes: [{ key: 'targets/target-1', epoch: 2, revision: 5 }],
     });
     view.reconcile();
-    expect([view.records('target'), namesIn(view)]).toEqual([[], ['left']]);
+    expect([view.records('target'), hostNames(view)]).toEqual([[], ['left']]);
   });
 
-  it('takes another start of a host that is listed at once, and not the one before the start that it knows', () => {
+  it('applies a new incarnation of a listed host, but not a previous one', () => {
     const view = new FleetView();
     view.replace({ epoch: 1, revision: 3 }, [at(1, hostChange(3, { incarnation: 'first' }))]);
     const second = at(1, hostChange(5, { incarnation: 'second' }));
@@ -183,29 +183,30 @@
     expect(view.records('entryHost')[0]?.host.incarnation).toBe('third');
   });
 
-  it('tells those who knew less of the life before what they lack, and those who knew more everything', () => {
-    const { view } = makeReturned();
-    const less = new FleetView();
-    less.replace(
+  it('provides a delta to views that knew less of the previous epoch, and none to those that knew more', () => {
+    const { view } = makeRestored();
+    const other = new FleetView();
+    other.replace(
       { epoch: 1, revision: 3 },
       LISTED.map((change) => at(1, change)),
     );
     expect(view.deltaSince({ epoch: 1, revision: 12 })).toBeUndefined();
     expect(view.deltaSince({ epoch: 1, revision: 9 })?.changes.length).toBeGreaterThan(0);
-    learn(view, less);
-    expect([versionOf(less), less.position]).toEqual([4, view.position]);
-    expect(less.lastChange).toEqual(view.lastChange);
-    expect(namesIn(less).sort()).toEqual(namesIn(view).sort());
+    syncFrom(view, other);
+    expect([versionOf(other), other.position]).toEqual([4, view.position]);
+    expect(other.lastChange).toEqual(view.lastChange);
+    expect(hostNames(other).sort()).toEqual(hostNames(view).sort());
   });
 });
 
-/** A store with several writers, which comes back from copies of itself. */
-class CopiedStore {
+/** A store with several writers that is restored from snapshots. */
+class RestoredStore {
   position = { epoch: 1, revision: 1 };
   entries = new Map<string, FleetChange>();
   history: FleetChange[] = [];
   version = 1;
-  #copies: { revision: number; entries: Map<string, FleetChange>; history: FleetChange[] }[] = [];
+  #snapshots: { revision: number; entries: Map<string, FleetChange>; history: FleetChange[] }[] =
+    [];
 
   constructor(readonly random: Random) {
     this.#write('configuration', configurationChange(0, { version: 1 }).record);
@@ -235,14 +236,18 @@
       },
       () => {
         const { revision } = this.position;
-        this.#copies.push({ revision, entries: new Map(this.entries), history: [...this.history] });
+        this.#snapshots.push({
+          revision,
+          entries: new Map(this.entries),
+          history: [...this.history],
+        });
       },
     ];
     acts[randomIndex(this.random, acts.length)]?.();
   }
 
-  /** The operator and the targets that live write again what they had written. */
-  writeAgain(): void {
+  /** Has the operator and the live targets rewrite their records. */
+  rewrite(): void {
     this.writeConfiguration();
     for (const { record } of [...this.entries.values()]) {
       if (record?.kind === 'target') {
@@ -257,13 +262,13 @@
     this.#write('configuration', configurationChange(0, { version: this.version }).record);
   }
 
-  comeBack(): void {
-    const copy = this.#copies.pop();
-    if (copy !== undefined) {
-      this.position = { epoch: this.position.epoch + 1, revision: copy.revision };
-      this.entries = copy.entries;
-      this.history = copy.history;
-      this.#copies = [];
+  restore(): void {
+    const snapshot = this.#snapshots.pop();
+    if (snapshot !== undefined) {
+      this.position = { epoch: this.position.epoch + 1, revision: snapshot.revision };
+      this.entries = snapshot.entries;
+      this.history = snapshot.history;
+      this.#snapshots = [];
     }
   }
 
@@ -271,8 +276,8 @@
     return [...this.entries.values()].map((change) => at(this.position.epoch, change));
   }
 
-  /** Has a host do what it does at the store: wait for changes, or read everything where its numbers are of no use. */
-  tell(view: FleetView): void {
+  /** Updates a view by changes, or by a listing if its position is not valid in this store. */
+  update(view: FleetView): void {
     const { epoch, revision } = view.position;
     const isKnown = epoch === this.position.epoch && revision <= this.position.revision;
     if (view.isEmpty || !isKnown) {
@@ -307,12 +312,12 @@
   return entries.map(({ key, record }) => `${key} ${JSON.stringify(record)}`).sort();
 }
 
-describe('hosts that learn of a store’s returns in any order', () => {
+describe('views that learn of restores in any order', () => {
   it.each(SEEDS)(
-    'never go back to an older configuration, and know what the store holds once all is written again (seed %i)',
+    'never revert to an older configuration and converge to the store once records are rewritten (seed %i)',
     (seed) => {
       const random = new SeededRandom(seed);
-      const store = new CopiedStore(random);
+      const store = new RestoredStore(random);
       const views = Array.from({ length: 4 }, () => new FleetView());
       const pick = (): FleetView => views[randomIndex(random, views.length)] ?? new FleetView();
       const newest = views.map(() => 0);
@@ -322,11 +327,11 @@
         if (chance < 0.4) {
           store.act();
         } else if (chance < 0.43) {
-          store.comeBack();
+          store.restore();
         } else if (chance < 0.7) {
-          store.tell(pick());
+          store.update(pick());
         } else {
-          learn(pick(), pick());
+          syncFrom(pick(), pick());
         }
         views.forEach((view, index) => {
           const version = versionOf(view) ?? 0;
@@ -336,9 +341,9 @@
           furthest[index] = view.position;
         });
       }
-      store.writeAgain();
+      store.rewrite();
       for (const view of views) {
-        store.tell(view);
+        store.update(view);
         view.reconcile();
         expect(contentOf(view.entries)).toEqual(contentOf(store.list()));
       }
--- a/packages/entry/tests/metrics-text.test.ts
+++ b/packages/entry/tests/metrics-text.test.ts
@@ -2,7 +2,7 @@
 import { metricsText } from '../src/metrics-text.js';
 import { RequestMetrics } from '../src/request/request-metrics.js';
 
-const FIGURES = {
+const HOST_METRICS = {
   beliefAgeMilliseconds: 250,
   configurationVersion: 7,
   knownRevision: 73,
@@ -32,13 +32,13 @@
 };
 
 describe('metricsText', () => {
-  it('tells counts and latencies by class and outcome', () => {
+  it('formats counts and latencies by class and outcome', () => {
     const metrics = new RequestMetrics();
     metrics.recordAnswer('once', 120);
     metrics.recordAnswer('once', 130);
     metrics.recordRefusal('once', 'overload/no', 2);
     metrics.recordRefusal('none', 'unknown-route/no', 1);
-    const lines = metricsText(metrics, FIGURES).split('\n');
+    const lines = metricsText(metrics, HOST_METRICS).split('\n');
     expect(lines).toEqual(
       expect.arrayContaining([
         'ferrylock_requests_total{class="once",outcome="answered"} 2',
@@ -68,13 +68,13 @@
     );
   });
 
-  it('says infinity as the format does where nothing was ever confirmed', () => {
-    const figures = {
-      ...FIGURES,
+  it('formats infinity as the text format spells it', () => {
+    const hostMetrics = {
+      ...HOST_METRICS,
       beliefAgeMilliseconds: Infinity,
       configurationVersion: undefined,
     };
-    const text = metricsText(new RequestMetrics(), figures);
+    const text = metricsText(new RequestMetrics(), hostMetrics);
     expect(text).toContain('ferrylock_belief_age_seconds +Inf\n');
   });
 });
--- a/packages/entry/tests/utilization-meter.test.ts
+++ b/packages/entry/tests/utilization-meter.test.ts
@@ -14,7 +14,7 @@
   return { meter, run };
 }
 
-test('comes to the share of time with work', () => {
+test('converges to the fraction of active time', () => {
   const { meter, run } = makeMeter();
   run(75, 25, 40);
   expect(meter.utilization).toBeCloseTo(0.25, 2);
@@ -27,7 +27,7 @@
   expect(meter.utilization).toBeGreaterThan(0.75);
 });
 
-test('a sample without time between changes nothing', () => {
+test('ignores a sample without elapsed time', () => {
   const { meter, run } = makeMeter();
   run(50, 50, 40);
   run(0, 0, 5);
--- a/packages/entry/tests/watcher-selection.test.ts
+++ b/packages/entry/tests/watcher-selection.test.ts
@@ -6,10 +6,10 @@
 
 const HOSTS = Array.from({ length: 20 }, (_, index) => `host-${index}`);
 
-function makeDuties(relays: readonly string[]) {
+function makeSelections(relays: readonly string[]) {
   const clock = new FakeClock();
   const view = new FleetView();
-  const duties = HOSTS.map(
+  const selections = HOSTS.map(
     (ownName) =>
       new WatcherSelection({
         clock,
@@ -20,52 +20,52 @@
         hostNames: () => HOSTS,
       }),
   );
-  const needed = (): string[] => HOSTS.filter((_, index) => duties[index]?.isWatcher);
-  return { clock, view, duties, needed };
+  const watchers = (): string[] => HOSTS.filter((_, index) => selections[index]?.isWatcher);
+  return { clock, view, selections, watchers };
 }
 
 describe('WatchDuty', () => {
-  it('has every host ask that knows nothing', () => {
-    expect(makeDuties([]).needed()).toEqual(HOSTS);
+  it('makes every host without state a watcher', () => {
+    expect(makeSelections([]).watchers()).toEqual(HOSTS);
   });
 
-  it('has three relays watch, the same ones by everybody’s reckoning', () => {
-    const { clock, view, needed } = makeDuties(HOSTS.slice(4, 9));
+  it('selects the same three relays at every host', () => {
+    const { clock, view, watchers } = makeSelections(HOSTS.slice(4, 9));
     view.replace({ revision: 1 }, [targetChange(1)]);
     view.confirm({ revision: 1 }, clock.now());
-    expect(needed()).toHaveLength(3);
-    expect(HOSTS.slice(4, 9)).toEqual(expect.arrayContaining(needed()));
+    expect(watchers()).toHaveLength(3);
+    expect(HOSTS.slice(4, 9)).toEqual(expect.arrayContaining(watchers()));
   });
 
-  it('has the others ask, a few at a time, when nothing is confirmed any more', async () => {
-    const { clock, view, needed } = makeDuties([]);
+  it('makes the other hosts watchers, a few at a time, when confirmations stop', async () => {
+    const { clock, view, watchers } = makeSelections([]);
     view.replace({ revision: 1 }, [targetChange(1)]);
     view.confirm({ revision: 1 }, clock.now());
     await clock.advance(1_500);
-    expect(needed()).toHaveLength(0);
+    expect(watchers()).toHaveLength(0);
     await clock.advance(61);
-    expect(needed()).toHaveLength(3);
+    expect(watchers()).toHaveLength(3);
     await clock.advance(240);
-    expect(needed()).toEqual(HOSTS);
+    expect(watchers()).toEqual(HOSTS);
   });
 
-  it('has those that watch read everything anew first, one after the other, and all others within a second', () => {
+  it('has watchers relist first, one by one, and all other hosts within a second', () => {
     const relays = HOSTS.slice(4, 9);
-    const { clock, view, duties, needed } = makeDuties(relays);
+    const { clock, view, selections, watchers } = makeSelections(relays);
     view.replace({ revision: 1 }, [targetChange(1)]);
     view.confirm({ revision: 1 }, clock.now());
-    const watching = new Set(needed());
-    const turns = duties.map(({ relistDelayMilliseconds: turnMilliseconds }, index) => ({
-      isWatching: watching.has(HOSTS[index] ?? ''),
-      turnMilliseconds,
+    const watcherNames = new Set(watchers());
+    const delays = selections.map(({ relistDelayMilliseconds }, index) => ({
+      isWatcher: watcherNames.has(HOSTS[index] ?? ''),
+      relistDelayMilliseconds,
     }));
-    const turnsOf = (isWatching: boolean): number[] =>
-      turns
-        .filter((turn) => turn.isWatching === isWatching)
-        .map(({ turnMilliseconds }) => turnMilliseconds)
+    const delaysOf = (isWatcher: boolean): number[] =>
+      delays
+        .filter((delay) => delay.isWatcher === isWatcher)
+        .map(({ relistDelayMilliseconds }) => relistDelayMilliseconds)
         .sort((one, other) => one - other);
-    expect(new Set(turnsOf(true)).size).toBe(3);
-    expect(Math.max(...turnsOf(true))).toBeLessThan(Math.min(...turnsOf(false)));
-    expect(Math.max(...turnsOf(false))).toBeLessThanOrEqual(1_000);
+    expect(new Set(delaysOf(true)).size).toBe(3);
+    expect(Math.max(...delaysOf(true))).toBeLessThan(Math.min(...delaysOf(false)));
+    expect(Math.max(...delaysOf(false))).toBeLessThanOrEqual(1_000);
   });
 });
