--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -50,8 +50,11 @@
 
   answer(region: string): DirectoryAnswer {
     const hosts = this.#hosts();
-    const near = hosts.filter(({ host }) => host.region === region);
-    const chosen = this.#choose(region, near.length > 0 ? near : hosts).slice(0, MAX_HOSTS);
+    const sameRegion = hosts.filter(({ host }) => host.region === region);
+    const chosen = this.#choose(region, sameRegion.length > 0 ? sameRegion : hosts).slice(
+      0,
+      MAX_HOSTS,
+    );
     return {
       trafficAddresses: chosen.map(({ host }) => host.trafficAddress),
       ttlMilliseconds: Math.min(TTL_MILLISECONDS, this.#options.maxTtlMilliseconds),
--- a/packages/entry/src/fleet/store-progress.ts
+++ b/packages/entry/src/fleet/store-progress.ts
@@ -33,7 +33,7 @@
     }
     if (epoch < this.epoch && !this.#hasReportedDecrease) {
       this.#hasReportedDecrease = true;
-      const detail = `expected no smaller number than before: ${this.epoch}, then ${epoch}`;
+      const detail = `expected an epoch of at least ${this.epoch}, received ${epoch}`;
       this.events.write({ event: 'store-header', header: 'epoch', detail });
     }
     this.epoch = Math.max(this.epoch, epoch);
--- a/packages/entry/src/fleet/store-restore-controller.ts
+++ b/packages/entry/src/fleet/store-restore-controller.ts
@@ -53,8 +53,12 @@
     const others = listed
       .flatMap(({ record }) => (record?.kind === 'entryHost' ? [record.host] : []))
       .filter(({ name }) => name !== settings.name);
-    const near = others.filter(({ region }) => region === settings.region);
-    const ranked = rendezvousRank(settings.name, near.length > 0 ? near : others, nameOf);
+    const sameRegion = others.filter(({ region }) => region === settings.region);
+    const ranked = rendezvousRank(
+      settings.name,
+      sameRegion.length > 0 ? sameRegion : others,
+      nameOf,
+    );
     const queried = ranked.slice(0, PEERS_QUERIED_AT_START);
     const sentAt = clock.now();
     const updates: (() => void)[] = [];
--- a/packages/entry/tests/fleet/store-restore.test.ts
+++ b/packages/entry/tests/fleet/store-restore.test.ts
@@ -178,8 +178,8 @@
       await clock.advance(3_000);
     };
     await restoreFromSnapshot({ clock, fleet, afterSnapshot });
-    const [gone] = fleet.hosts.splice(-1);
-    await Promise.all([gone?.member.close(), clock.advance(700)]);
+    const [lost] = fleet.hosts.splice(-1);
+    await Promise.all([lost?.member.close(), clock.advance(700)]);
     fleet.addHost(20);
     await clock.advance(1_000);
     const hostsKnowing = (): number =>
--- a/packages/entry/tests/fleet/view-restore.test.ts
+++ b/packages/entry/tests/fleet/view-restore.test.ts
@@ -63,8 +63,8 @@
   const isFurther = to.epoch > from.epoch;
   const delta = isFurther || to.isEmpty ? undefined : from.deltaSince(to.position);
   if (delta === undefined) {
-    const whole = from.snapshot();
-    to.replace({ epoch: whole.epoch, revision: whole.revision }, whole.changes);
+    const snapshot = from.snapshot();
+    to.replace({ epoch: snapshot.epoch, revision: snapshot.revision }, snapshot.changes);
   } else {
     to.apply(delta);
   }
@@ -151,11 +151,11 @@
       at(1, targetChange(2)),
       at(1, hostChange(3, { name: 'left' })),
     ]);
-    const gone = [
+    const deletions = [
       { key: 'targets/target-1', epoch: 1, revision: 6 },
       { key: 'hosts/left', epoch: 1, revision: 7 },
     ];
-    view.apply({ afterEpoch: 1, afterRevision: 3, epoch: 1, revision: 7, changes: gone });
+    view.apply({ afterEpoch: 1, afterRevision: 3, epoch: 1, revision: 7, changes: deletions });
     view.replace({ epoch: 2, revision: 4 }, [
       at(2, targetChange(2)),
       at(2, hostChange(3, { name: 'left' })),
