--- a/packages/entry/src/directory.ts
+++ b/packages/entry/src/directory.ts
@@ -50,11 +50,8 @@
 
   answer(region: string): DirectoryAnswer {
     const hosts = this.#hosts();
-    const sameRegion = hosts.filter(({ host }) => host.region === region);
-    const chosen = this.#choose(region, sameRegion.length > 0 ? sameRegion : hosts).slice(
-      0,
-      MAX_HOSTS,
-    );
+    const local = hosts.filter(({ host }) => host.region === region);
+    const chosen = this.#choose(region, local.length > 0 ? local : hosts).slice(0, MAX_HOSTS);
     return {
       trafficAddresses: chosen.map(({ host }) => host.trafficAddress),
       ttlMilliseconds: Math.min(TTL_MILLISECONDS, this.#options.maxTtlMilliseconds),
--- a/packages/entry/src/fleet-member.ts
+++ b/packages/entry/src/fleet-member.ts
@@ -210,11 +210,7 @@
     return this.#storeWatch.progress;
   }
 
-  /**
-   * Binds the socket for reports of peers.
-   *
-   * @returns the bound address
-   */
+  /** Binds the socket for reports of peers and returns its address. */
   listen(): Promise<string> {
     return this.#exchange.listen(this.#options.settings.reportAddress);
   }
--- a/packages/entry/src/fleet/compare-records.ts
+++ b/packages/entry/src/fleet/compare-records.ts
@@ -5,11 +5,7 @@
 /** Order of two records of one key; undefined if their contents do not determine it. */
 export type RecordOrder = 'newer' | 'older' | undefined;
 
-/**
- * Orders two records of a key by the numbers that their writers assign, which a restore of the
- * store does not reset: the version of a configuration, the incarnation and the sequence of a
- * target.
- */
+/** Orders two records of a key by version numbers that a restore of the store does not reset. */
 export function compareRecords(one: FleetRecord, other: FleetRecord): RecordOrder {
   if (one.kind === 'configuration' && other.kind === 'configuration') {
     return order(one.configuration.version, other.configuration.version);
--- a/packages/entry/src/fleet/fleet-store.ts
+++ b/packages/entry/src/fleet/fleet-store.ts
@@ -29,7 +29,6 @@
 export interface HostLease {
   readonly id: number;
   readonly milliseconds: number;
-  /** Key that is bound to the lease. */
   readonly key: string;
   /** Revision at which the key was written. */
   readonly revision: number;
@@ -72,9 +71,6 @@
     suspect: SuspectRecord,
     write: SuspectWrite,
   ): Promise<Result<void, FleetStoreFailure>>;
-  /**
-   * Deletes the registration if it is unchanged. The lease is left to expire, as it may belong to
-   * another host by now.
-   */
+  /** Deletes an unchanged registration; the lease is left to expire, as its id may be reused. */
   release(lease: HostLease): Promise<Result<void, FleetStoreFailure>>;
 }
--- a/packages/entry/src/fleet/fleet-view.ts
+++ b/packages/entry/src/fleet/fleet-view.ts
@@ -100,11 +100,7 @@
     }
   }
 
-  /**
-   * Applies changes.
-   *
-   * @returns false if the delta starts after the position of the view
-   */
+  /** Applies changes; returns false if the delta starts after the position of the view. */
   apply(delta: FleetDelta): boolean {
     const { afterEpoch, afterRevision, epoch, revision, lastChange = 0 } = delta;
     if (isAfter({ epoch: afterEpoch, revision: afterRevision }, this.position)) {
--- a/packages/entry/src/fleet/host-registration.ts
+++ b/packages/entry/src/fleet/host-registration.ts
@@ -87,9 +87,7 @@
     if (this.#lease === undefined) {
       return this.#register();
     }
-    return this.#mustVerifyLease
-      ? this.#verifyLease(this.#lease, signal)
-      : this.#renew(this.#lease);
+    return this.#mustVerifyLease ? this.#checkLease(this.#lease, signal) : this.#renew(this.#lease);
   }
 
   async #register(): Promise<boolean> {
@@ -115,7 +113,7 @@
   }
 
   /** Keeps a lease that the restored store still holds; registers the host again otherwise. */
-  async #verifyLease(lease: HostLease, signal: AbortSignal): Promise<boolean> {
+  async #checkLease(lease: HostLease, signal: AbortSignal): Promise<boolean> {
     const { random, store, host, hosts } = this.#options;
     await this.#sleep(restoreSpreadMilliseconds(hosts()) * random.next(), signal);
     if (signal.aborted) {
--- a/packages/entry/src/fleet/store-progress.ts
+++ b/packages/entry/src/fleet/store-progress.ts
@@ -53,8 +53,7 @@
 }
 
 /**
- * Epoch that a response belongs to. A response without an epoch, or with an older one, counts as of
- * the known epoch.
+ * Epoch of a response; the known epoch if the store reports none or an older one.
  *
  * @param known - position known when the request was sent
  */
--- a/packages/entry/src/fleet/store-restore-controller.ts
+++ b/packages/entry/src/fleet/store-restore-controller.ts
@@ -13,10 +13,7 @@
 const PEERS_QUERIED_AT_START = 2;
 /** Several round trips between two regions. */
 const QUERY_TIMEOUT_MILLISECONDS = 300;
-/**
- * Time for targets to rewrite their records after a restore, in addition to the time for hosts. The
- * records of targets that no longer send heartbeats are deleted after three heartbeats.
- */
+/** Longer than three heartbeats, after which records of dead targets are deleted. */
 const REWRITE_GRACE_MILLISECONDS = 5_000;
 
 export interface StoreRestoreControllerOptions {
@@ -44,21 +41,15 @@
 
   /**
    * Asks peers for records that a restored store has lost, before this host serves by its first
-   * listing.
-   *
-   * @returns a function that applies their responses
+   * listing. The returned function applies their responses.
    */
   async queryPeers(position: StorePosition, listed: readonly FleetChange[]): Promise<() => void> {
     const { settings, clock, viewExchange } = this.#options;
     const others = listed
       .flatMap(({ record }) => (record?.kind === 'entryHost' ? [record.host] : []))
       .filter(({ name }) => name !== settings.name);
-    const sameRegion = others.filter(({ region }) => region === settings.region);
-    const ranked = rendezvousRank(
-      settings.name,
-      sameRegion.length > 0 ? sameRegion : others,
-      nameOf,
-    );
+    const local = others.filter(({ region }) => region === settings.region);
+    const ranked = rendezvousRank(settings.name, local.length > 0 ? local : others, nameOf);
     const queried = ranked.slice(0, PEERS_QUERIED_AT_START);
     const sentAt = clock.now();
     const updates: (() => void)[] = [];
--- a/packages/entry/src/fleet/suspect-record.ts
+++ b/packages/entry/src/fleet/suspect-record.ts
@@ -1,9 +1,8 @@
 import { z } from 'zod';
 
 /**
- * State of a request during which targets crashed. `suspected`: it is rejected. `tried`: it is
- * rejected after it was forwarded once more to test it. `cleared`: a target answered it, so it is
- * forwarded.
+ * State of a request during which targets crashed. `suspected`: rejected. `tried`: rejected after it
+ * was forwarded once more as a test. `cleared`: forwarded, since a target answered it.
  */
 export const suspectStateSchema = z.enum(['suspected', 'tried', 'cleared']);
 
--- a/packages/entry/src/fleet/view-entries.ts
+++ b/packages/entry/src/fleet/view-entries.ts
@@ -9,10 +9,9 @@
 const RADIX = 36;
 
 /**
- * Latest known change of every key. Within an epoch of the store, revisions order changes. Across
- * epochs, records are ordered by their own version numbers if they have any. Records that a
- * restored store has lost are retained at their old position until their writers have rewritten
- * them.
+ * Latest known change of every key. Revisions order changes within an epoch of the store; across
+ * epochs, records are ordered by their own version numbers, if any. Records that a restored store
+ * has lost are retained at their old position until they are rewritten.
  */
 export class ViewEntries {
   /** Current epoch of the store. */
@@ -134,10 +133,7 @@
     return isFromOtherEpoch && orderOf(change, this.#latest.get(change.key)) === 'newer';
   }
 
-  /**
-   * Whether a change supersedes the latest known one. An unreadable value deletes a record, except
-   * for a configuration, which stays in force.
-   */
+  /** Whether to apply a change. An unreadable value deletes any record but a configuration. */
   isNewer(change: FleetChange): boolean {
     const latest = this.#latest.get(change.key);
     if (latest === undefined) {
@@ -169,11 +165,7 @@
     }
   }
 
-  /**
-   * Records a change of the current epoch if a retained record shadows it.
-   *
-   * @returns whether it does
-   */
+  /** Records a change that a retained record shadows; returns whether there is one. */
   recordShadowed(change: FleetChange): boolean {
     const latest = this.#latest.get(change.key);
     const isShadowed =
@@ -196,8 +188,6 @@
   /**
    * Adopts the content of the store after the grace period for rewriting lost records.
    * Configurations and records that are newer by their own version numbers stay retained.
-   *
-   * @returns the changes
    */
   reconcile(): FleetChange[] {
     const changes = [...this.#latest.values()]
--- a/packages/entry/tests/fleet/restore-fleet.ts
+++ b/packages/entry/tests/fleet/restore-fleet.ts
@@ -33,11 +33,7 @@
   readonly isHistoryLost?: boolean;
 }
 
-/**
- * Restores the store from a snapshot after an outage.
- *
- * @returns a function that has writers rewrite the lost records
- */
+/** Restores the store after an outage; the returned function rewrites the lost records. */
 export async function restoreFromSnapshot({
   clock,
   fleet,
--- a/packages/entry/tests/fleet/store-watch.test.ts
+++ b/packages/entry/tests/fleet/store-watch.test.ts
@@ -46,11 +46,7 @@
   const store = new ScriptedStore();
   const view = new FleetView();
   const health = new StoreHealth(clock, log);
-  const peerState = {
-    isWatcher: true,
-    relistDelayMilliseconds: 0,
-    applyPeerRecords: (): void => undefined,
-  };
+  const state = { isWatcher: true, relistDelayMilliseconds: 0, apply: (): void => undefined };
   const watch = new StoreWatch({
     clock,
     random: new SeededRandom(1),
@@ -59,11 +55,11 @@
     view,
     health,
     disabledMechanisms: NO_DISABLED_MECHANISMS,
-    isWatcher: () => peerState.isWatcher,
-    relistDelayMilliseconds: () => peerState.relistDelayMilliseconds,
-    queryPeers: () => Promise.resolve(peerState.applyPeerRecords),
+    isWatcher: () => state.isWatcher,
+    relistDelayMilliseconds: () => state.relistDelayMilliseconds,
+    queryPeers: () => Promise.resolve(state.apply),
   });
-  return { clock, events, store, view, health, peerState, watch };
+  return { clock, events, store, view, health, state, watch };
 }
 
 describe('StoreWatch', () => {
@@ -118,8 +114,8 @@
   });
 
   it('makes no calls while other hosts watch', async () => {
-    const { clock, store, peerState, watch } = makeWatch();
-    peerState.isWatcher = false;
+    const { clock, store, state, watch } = makeWatch();
+    state.isWatcher = false;
     watch.start();
     await clock.advance(5_000);
     expect(store.calls).toEqual([]);
@@ -187,9 +183,9 @@
   });
 
   it('applies the records of peers together with the first listing', async () => {
-    const { clock, store, view, peerState, watch } = makeWatch();
+    const { clock, store, view, state, watch } = makeWatch();
     const versions: (number | undefined)[] = [];
-    peerState.applyPeerRecords = () => {
+    state.apply = () => {
       versions.push(view.records('configuration')[0]?.configuration.version);
       const kept = { ...configurationChange(9, { version: 4 }), epoch: 1_000 };
       view.apply({
@@ -211,8 +207,8 @@
   });
 
   it('does not relist if a peer provides the new state first', async () => {
-    const { clock, store, view, peerState, watch } = makeWatch();
-    peerState.relistDelayMilliseconds = 900;
+    const { clock, store, view, state, watch } = makeWatch();
+    state.relistDelayMilliseconds = 900;
     store.listings = [Ok({ epoch: 1, revision: 7, changes: [targetChange(7)] })];
     store.waits = [Err({ ...failure('history-lost'), epoch: 2 })];
     watch.start();
--- a/packages/entry/tests/fleet/view-restore.test.ts
+++ b/packages/entry/tests/fleet/view-restore.test.ts
@@ -205,8 +205,7 @@
   entries = new Map<string, FleetChange>();
   history: FleetChange[] = [];
   version = 1;
-  #snapshots: { revision: number; entries: Map<string, FleetChange>; history: FleetChange[] }[] =
-    [];
+  #saved: { revision: number; entries: Map<string, FleetChange>; history: FleetChange[] }[] = [];
 
   constructor(readonly random: Random) {
     this.#write('configuration', configurationChange(0, { version: 1 }).record);
@@ -236,11 +235,7 @@
       },
       () => {
         const { revision } = this.position;
-        this.#snapshots.push({
-          revision,
-          entries: new Map(this.entries),
-          history: [...this.history],
-        });
+        this.#saved.push({ revision, entries: new Map(this.entries), history: [...this.history] });
       },
     ];
     acts[randomIndex(this.random, acts.length)]?.();
@@ -263,12 +258,12 @@
   }
 
   restore(): void {
-    const snapshot = this.#snapshots.pop();
+    const snapshot = this.#saved.pop();
     if (snapshot !== undefined) {
       this.position = { epoch: this.position.epoch + 1, revision: snapshot.revision };
       this.entries = snapshot.entries;
       this.history = snapshot.history;
-      this.#snapshots = [];
+      this.#saved = [];
     }
   }
 
