--- a/packages/entry/src/request/target-client.ts
+++ b/packages/entry/src/request/target-client.ts
@@ -24,7 +24,7 @@
   readonly path: string;
   readonly headers: Record<string, string | string[]>;
   readonly body: Buffer | undefined;
-  /** True if to send the request on a new connection that is not reused. */
+  /** True if the request needs a new connection that is not reused. */
   readonly usesOwnConnection: boolean;
   /** True if the request may still be sent; checked once a connection is available. */
   readonly isStillAllowed: () => boolean;
--- a/packages/entry/src/suspects/suspect-record-store.ts
+++ b/packages/entry/src/suspects/suspect-record-store.ts
@@ -52,7 +52,7 @@
 interface ObservedRecord extends SuspectRecord {
   /** Key in the store; undefined before the record exists. */
   readonly key: string | undefined;
-  /** True if the record does not exist (any more). */
+  /** True if the record does not exist, or was deleted. */
   isDeleted: boolean;
   readonly observedAt: number;
 }
@@ -119,13 +119,11 @@
    * arrives.
    */
   #needsRecord(fingerprint: string): boolean {
-    const observed = this.#observed.get(fingerprint);
-    if (observed === undefined || observed.state === 'cleared') {
+    const record = this.#observed.get(fingerprint);
+    if (record === undefined || record.state === 'cleared') {
       return true;
     }
-    return (
-      observed.isDeleted && this.#options.table.lastActivityAt(fingerprint) > observed.observedAt
-    );
+    return record.isDeleted && this.#options.table.lastActivityAt(fingerprint) > record.observedAt;
   }
 
   #sweepObserved(observed: ObservedRecord): void {
--- a/packages/entry/tests/accounts/account-fleet.test.ts
+++ b/packages/entry/tests/accounts/account-fleet.test.ts
@@ -1,6 +1,5 @@
 /**
- * Load: 80 client accounts over 65 hosts, most of which have no callers. What one host lets run is to be known to all
- * soon: quiet hosts report and hear least often, every 0.4 and 0.8 s, and accounts at rest are to cost nothing.
+ * Guards against late reports of account usage between hosts, and against traffic of idle accounts.
  */
 import type { ClientAccount } from '@ferrylock/routing';
 import { EntryFleet, FakeClock, makeLimitedAccount } from '@ferrylock/test-utils';
@@ -32,12 +31,12 @@
   return { clock, fleet };
 }
 
-/** Lets a host run so many requests of an account; tells how many might. */
-function take(fleet: EntryFleet, host: number, account: ClientAccount, count: number): number {
-  const duty = fleet.hosts[host]?.member.accounts;
+/** Charges a number of requests to an account at one host; returns how many were admitted. */
+function acquire(fleet: EntryFleet, host: number, account: ClientAccount, count: number): number {
+  const controller = fleet.hosts[host]?.member.accounts;
   let ran = 0;
   for (let asked = 0; asked < count; asked++) {
-    ran += duty?.acquire(account) === undefined ? 1 : 0;
+    ran += controller?.acquire(account) === undefined ? 1 : 0;
   }
   return ran;
 }
@@ -45,9 +44,9 @@
 describe('client accounts in a fleet', { timeout: TEST_MILLISECONDS }, () => {
   const account = makeLimitedAccount(40, 'account-0');
 
-  it('are known by their use to every host within one and a half seconds', async () => {
+  it('have their usage known to every host within one and a half seconds', async () => {
     const { clock, fleet } = await makeFleet(ACCOUNTS);
-    const ran = [0, 7, HOSTS - 1].map((host) => take(fleet, host, account, 20));
+    const ran = [0, 7, HOSTS - 1].map((host) => acquire(fleet, host, account, 20));
     const total = ran.reduce((sum, count) => sum + count, 0);
     expect(total).toBeGreaterThanOrEqual(40);
     await clock.advance(1_500);
@@ -60,12 +59,12 @@
     }
   });
 
-  it('are held to their limits by hosts that had no callers before', async () => {
+  it('are limited by hosts that had no callers before', async () => {
     const { clock, fleet } = await makeFleet(ACCOUNTS);
     let ran = 0;
     for (let round = 0; round < 20; round++) {
       for (let host = 0; host < HOSTS; host++) {
-        ran += take(fleet, host, account, 1);
+        ran += acquire(fleet, host, account, 1);
       }
       await clock.advance(200);
     }
@@ -73,28 +72,28 @@
     expect(ran).toBeGreaterThan(0.8 * 240);
   });
 
-  it('are told of out of turn in a rush alone, not where small ones go up and down by chance', async () => {
+  it('do not cause immediate reports when usage of small accounts fluctuates', async () => {
     const small = ACCOUNTS.map(({ name }) => makeLimitedAccount(8, name));
     const { clock, fleet } = await makeFleet(small);
     const random = new SeededRandom(1);
-    /** Asks for each account's rate, at any host, for some seconds. */
-    const ask = async (seconds: number): Promise<void> => {
+    /** Sends requests at each account's rate to random hosts for some seconds. */
+    const sendRequests = async (seconds: number): Promise<void> => {
       for (let step = 0; step < seconds * 20; step++) {
         await clock.advance(50);
         for (const account of small) {
           if (random.next() < 8 * 0.05) {
-            take(fleet, randomIndex(random, HOSTS), account, 1);
+            acquire(fleet, randomIndex(random, HOSTS), account, 1);
           }
         }
       }
     };
-    await ask(6);
+    await sendRequests(6);
     const before = fleet.counts.datagrams;
-    await ask(4);
+    await sendRequests(4);
     expect((fleet.counts.datagrams - before) / HOSTS / 4).toBeLessThan(11);
   });
 
-  it('cost nothing at rest', async () => {
+  it('cause no traffic while idle', async () => {
     const bytesOf = async (accounts?: readonly ClientAccount[]): Promise<number> => {
       const { clock, fleet } = await makeFleet(accounts);
       const before = fleet.counts.bytes;
--- a/packages/entry/tests/accounts/account-limit-controller.test.ts
+++ b/packages/entry/tests/accounts/account-limit-controller.test.ts
@@ -6,143 +6,149 @@
 
 const ACCOUNT = makeLimitedAccount(40);
 
-/** What a host among others may let run at once: a quarter of the limit of 240 and the part of the slack. */
-const TURN = 62;
+/**
+ * Requests admitted at once by a host among others: a quarter of the limit and a share of the
+ * slack.
+ */
+const ROUND = 62;
 
-/** `host-1` of a fleet of so many, of which it hears those that are named. */
-function makeDuty({ hosts = 1, isFirstStart = true, heard = new Set<string>() } = {}) {
+/** Controller of `host-1` in a fleet of the given size, with the given hosts alive. */
+function makeController({ hosts = 1, isFirstStart = true, alive = new Set<string>() } = {}) {
   const clock = new FakeClock();
   const records = Array.from({ length: hosts }, (_, index) =>
     makeHostRecord({ name: `host-${index + 1}` }),
   );
-  const rushes = { count: 0 };
-  const duty = new AccountLimitController({
+  const surges = { count: 0 };
+  const controller = new AccountLimitController({
     clock,
     random: new SeededRandom(1),
     bound: { windowMilliseconds: 5_000, overage: 0.1, slack: 20 },
     ownName: 'host-1',
     isFirstStart,
     hosts: () => records,
-    isAlive: ({ name }) => heard.has(name),
+    isAlive: ({ name }) => alive.has(name),
     onSurge: () => {
-      rushes.count++;
+      surges.count++;
     },
   });
-  duty.quotas.setAccounts([ACCOUNT]);
-  /** Asks so many times; tells how many may run. */
-  const ask = (count: number): number => {
+  controller.quotas.setAccounts([ACCOUNT]);
+  /** Sends a number of requests; returns how many were admitted. */
+  const send = (count: number): number => {
     let ran = 0;
     for (let asked = 0; asked < count; asked++) {
-      ran += duty.acquire(ACCOUNT) === undefined ? 1 : 0;
+      ran += controller.acquire(ACCOUNT) === undefined ? 1 : 0;
     }
     return ran;
   };
-  /** Asks for more than may run in four turns, within one window, with fresh news before each. */
-  const askInTurns = async (): Promise<number> => {
+  /** Exceeds the limit in four rounds within one window, with a new report before each. */
+  const sendInRounds = async (): Promise<number> => {
     let ran = 0;
-    for (let turn = 0; turn < 4; turn++) {
+    for (let round = 0; round < 4; round++) {
       await clock.advance(1_000);
-      duty.sweep();
-      duty.mergeHostReport(other(2), used(0), 5_000);
-      ran += ask(300);
+      controller.sweep();
+      controller.mergeHostReport(other(2), used(0), 5_000);
+      ran += send(300);
     }
     return ran;
   };
-  return { clock, duty, ask, askInTurns, rushes, heard };
+  return { clock, controller, send, sendInRounds, surges, alive };
 }
 
 const other = (number: number, incarnation = 'first') => ({ name: `host-${number}`, incarnation });
 const used = (count: number) => ({ used: { haulier: count }, demand: { haulier: 1 } });
 
-describe('AccountDuty', () => {
-  it('gives the whole limit to a host that is alone', () => {
-    expect(makeDuty().ask(300)).toBeGreaterThanOrEqual(240);
+describe('AccountLimitController', () => {
+  it('grants the whole limit to a single host', () => {
+    expect(makeController().send(300)).toBeGreaterThanOrEqual(240);
   });
 
-  it('gives a small part to a host that hears nobody', async () => {
-    const { clock, duty, ask } = makeDuty({ hosts: 10 });
+  it('grants a small share to a host that receives no reports', async () => {
+    const { clock, controller, send } = makeController({ hosts: 10 });
     await clock.advance(10_000);
-    duty.sweep();
-    expect(ask(300)).toBeLessThanOrEqual(240 / 10);
+    controller.sweep();
+    expect(send(300)).toBeLessThanOrEqual(240 / 10);
   });
 
-  it('gives a small part to a host that has just started, until it hears most others', async () => {
-    const heard = new Set<string>();
-    const { clock, duty, ask, askInTurns } = makeDuty({ hosts: 10, heard });
-    const blind = ask(300);
-    expect(blind).toBeLessThanOrEqual(240 / 10);
+  it('grants a small share to a new host until most other hosts are alive', async () => {
+    const alive = new Set<string>();
+    const { clock, controller, send, sendInRounds } = makeController({ hosts: 10, alive });
+    const isolated = send(300);
+    expect(isolated).toBeLessThanOrEqual(240 / 10);
     for (let number = 2; number <= 10; number++) {
-      heard.add(`host-${number}`);
+      alive.add(`host-${number}`);
     }
     await clock.advance(200);
-    duty.sweep();
-    duty.mergeHostReport(other(2), used(0), 5_000);
-    expect(blind + ask(300)).toBe(TURN);
-    const ran = TURN + (await askInTurns());
+    controller.sweep();
+    controller.mergeHostReport(other(2), used(0), 5_000);
+    expect(isolated + send(300)).toBe(ROUND);
+    const ran = ROUND + (await sendInRounds());
     expect(ran).toBeGreaterThan(200);
     expect(ran).toBeLessThanOrEqual(248);
   });
 
-  it('counts what other hosts tell, and what an earlier start of a host told', async () => {
-    const { clock, duty, heard } = makeDuty({ hosts: 3, heard: new Set(['host-2', 'host-3']) });
-    duty.sweep();
-    duty.mergeHostReport(other(2), used(60), 5_000);
-    duty.mergeHostReport(other(3), used(50), 5_000);
-    duty.mergeHostReport(other(2, 'second'), used(5), 5_000);
-    expect(heard.size).toBe(2);
+  it('counts the usage reported by other hosts and their earlier incarnations', async () => {
+    const { clock, controller, alive } = makeController({
+      hosts: 3,
+      alive: new Set(['host-2', 'host-3']),
+    });
+    controller.sweep();
+    controller.mergeHostReport(other(2), used(60), 5_000);
+    controller.mergeHostReport(other(3), used(50), 5_000);
+    controller.mergeHostReport(other(2, 'second'), used(5), 5_000);
+    expect(alive.size).toBe(2);
     await clock.advance(100);
-    expect(duty.usage.others('haulier').used).toBe(60 + 50 + 5);
+    expect(controller.usage.others('haulier').used).toBe(60 + 50 + 5);
   });
 
-  it('leaves room after a start for what ran before, until a host tells that remembers it', async () => {
-    const { clock, duty, ask, askInTurns } = makeDuty({
+  it('reserves capacity after a start until a host reports the usage history', async () => {
+    const { clock, controller, send, sendInRounds } = makeController({
       hosts: 2,
       isFirstStart: false,
-      heard: new Set(['host-2']),
+      alive: new Set(['host-2']),
     });
-    duty.sweep();
-    duty.mergeHostReport(other(2), used(0), 0);
-    expect(ask(100)).toBeLessThan(20);
-    duty.mergeHostReport(other(2), used(0), 5_000);
+    controller.sweep();
+    controller.mergeHostReport(other(2), used(0), 0);
+    expect(send(100)).toBeLessThan(20);
+    controller.mergeHostReport(other(2), used(0), 5_000);
     await clock.advance(1_000);
-    duty.mergeHostReport(other(2), used(0), 5_000);
-    expect(ask(200)).toBe(TURN);
-    expect(TURN + (await askInTurns())).toBeGreaterThan(180);
+    controller.mergeHostReport(other(2), used(0), 5_000);
+    expect(send(200)).toBe(ROUND);
+    expect(ROUND + (await sendInRounds())).toBeGreaterThan(180);
   });
 
-  it('believes nothing told by few of many', async () => {
-    const { clock, duty, ask } = makeDuty({ hosts: 10, heard: new Set(['host-2']) });
+  it('ignores reports while only few hosts are alive', async () => {
+    const { clock, controller, send } = makeController({ hosts: 10, alive: new Set(['host-2']) });
     await clock.advance(10_000);
-    duty.sweep();
-    duty.mergeHostReport(other(2), used(0), 5_000);
-    expect(ask(300)).toBeLessThanOrEqual(240 / 10);
+    controller.sweep();
+    controller.mergeHostReport(other(2), used(0), 5_000);
+    expect(send(300)).toBeLessThanOrEqual(240 / 10);
   });
 
-  it('tells others at once of a rush near the limit, and not of ordinary use', async () => {
-    const { clock, duty, ask, rushes } = makeDuty();
+  it('requests a report for a surge near the limit, but not for ordinary usage', async () => {
+    const { clock, controller, send, surges } = makeController();
     await clock.advance(1_000);
-    duty.sweep();
-    ask(100);
-    expect(rushes.count).toBe(0);
-    ask(60);
-    expect(rushes.count).toBe(1);
-    ask(20);
-    expect(rushes.count).toBe(1);
-    duty.report(1);
+    controller.sweep();
+    send(100);
+    expect(surges.count).toBe(0);
+    send(60);
+    expect(surges.count).toBe(1);
+    send(20);
+    expect(surges.count).toBe(1);
+    controller.report(1);
     await clock.advance(100);
-    ask(20);
-    expect(rushes.count).toBe(1);
-    ask(10);
-    expect(rushes.count).toBe(2);
+    send(20);
+    expect(surges.count).toBe(1);
+    send(10);
+    expect(surges.count).toBe(2);
   });
 
-  it('takes its own part out of what is told of the whole fleet', async () => {
-    const { clock, duty, ask } = makeDuty();
-    ask(30);
-    duty.report(7);
-    ask(10);
-    duty.mergeFleetReport(used(100), 7, 5_000);
+  it('subtracts its own usage from the usage reported for the whole fleet', async () => {
+    const { clock, controller, send } = makeController();
+    send(30);
+    controller.report(7);
+    send(10);
+    controller.mergeFleetReport(used(100), 7, 5_000);
     await clock.advance(100);
-    expect(duty.usage.others('haulier').used).toBe(70);
+    expect(controller.usage.others('haulier').used).toBe(70);
   });
 });
--- a/packages/entry/tests/limits/target-limit-controller.test.ts
+++ b/packages/entry/tests/limits/target-limit-controller.test.ts
@@ -9,15 +9,15 @@
 
 const HOSTS = 4;
 
-/** `host-1` of four, which hears those that are named. */
-function makeDuty(heard = new Set(['host-2', 'host-3', 'host-4'])) {
+/** Controller of `host-1` among four hosts, with the given hosts alive. */
+function makeController(alive = new Set(['host-2', 'host-3', 'host-4'])) {
   const clock = new FakeClock();
   const { log, events } = captureEvents();
   const names = Array.from({ length: HOSTS }, (_, index) => `host-${index + 1}`);
   const records = names.map((name) => makeHostRecord({ name }));
   const target = new TargetState(makeTargetRecord({ bornAt: 1 }), 0);
-  const news = { count: 0 };
-  const duty = new TargetLimitController({
+  const updates = { count: 0 };
+  const controller = new TargetLimitController({
     clock,
     random: new SeededRandom(1),
     events: log,
@@ -25,20 +25,24 @@
     disabledMechanisms: NO_DISABLED_MECHANISMS,
     hosts: () => records,
     hostNames: () => names,
-    isAlive: ({ name }) => heard.has(name),
+    isAlive: ({ name }) => alive.has(name),
     targetOfStart: (start) => (start === target.incarnationId ? target : undefined),
     onUpdate: () => {
-      news.count++;
+      updates.count++;
     },
   });
-  const name = (perSecond: number | undefined): void => {
+  const setLimit = (perSecond: number | undefined): void => {
     target.signals.limit.record(perSecond, { sentAt: clock.now(), now: clock.now() });
-    duty.recordLimitChange(target);
+    controller.recordLimitChange(target);
   };
-  return { clock, duty, target, events, news, name, heard };
+  return { clock, controller, target, events, updates, setLimit, alive };
 }
 
-function told(start: string, perSecond: number | undefined, ageMilliseconds = 100): ReportedLimits {
+function reportOf(
+  start: string,
+  perSecond: number | undefined,
+  ageMilliseconds = 100,
+): ReportedLimits {
   return {
     usage: { used: { [start]: 1 }, demand: { [start]: 2 } },
     limits: new Map([[start, { perSecond, ageMilliseconds }]]),
@@ -47,83 +51,83 @@
 
 const other = { name: 'host-2', incarnation: 'first' };
 
-describe('LimitDuty', () => {
-  it('tells nothing, and takes nothing up, while no target names a limit', () => {
-    const { duty } = makeDuty();
-    duty.beginReport(1);
-    expect(duty.buildReport().limits.size).toBe(0);
-    duty.mergeHostReport(other, undefined);
-    expect(duty.hasReport(other)).toBe(false);
+describe('TargetLimitController', () => {
+  it('reports and merges nothing while no target advertises a limit', () => {
+    const { controller } = makeController();
+    controller.beginReport(1);
+    expect(controller.buildReport().limits.size).toBe(0);
+    controller.mergeHostReport(other, undefined);
+    expect(controller.hasReport(other)).toBe(false);
   });
 
-  it('has what one host heard count at all, once, and passes it on at once', () => {
-    const { duty, target, events, news } = makeDuty();
-    duty.mergeHostReport(other, told(target.incarnationId, 2.5));
-    duty.mergeHostReport(other, told(target.incarnationId, 2.5));
+  it('applies a limit reported by another host once and reports it immediately', () => {
+    const { controller, target, events, updates } = makeController();
+    controller.mergeHostReport(other, reportOf(target.incarnationId, 2.5));
+    controller.mergeHostReport(other, reportOf(target.incarnationId, 2.5));
     expect(target.signals.limit.perSecond).toBe(2.5);
-    expect(news.count).toBe(1);
+    expect(updates.count).toBe(1);
     expect(events).toMatchObject([{ event: 'target', state: 'limited', target: target.id }]);
-    expect(duty.hasReport(other)).toBe(true);
-    duty.beginReport(1);
-    expect([...duty.buildReport().limits]).toEqual([
+    expect(controller.hasReport(other)).toBe(true);
+    controller.beginReport(1);
+    expect([...controller.buildReport().limits]).toEqual([
       [target.incarnationId, { perSecond: 2.5, ageMilliseconds: 100 }],
     ]);
   });
 
-  it('makes nothing of a start that it does not know', () => {
-    const { duty, target } = makeDuty();
-    duty.mergeHostReport(other, told('another~1', 2.5));
+  it('ignores an unknown incarnation', () => {
+    const { controller, target } = makeController();
+    controller.mergeHostReport(other, reportOf('another~1', 2.5));
     expect(target.signals.limit.perSecond).toBeUndefined();
-    expect(duty.buildReport().limits.size).toBe(0);
+    expect(controller.buildReport().limits.size).toBe(0);
   });
 
-  it('tells that a limit is lifted, for a while', async () => {
-    const { clock, duty, target, name } = makeDuty();
-    name(2.5);
+  it('reports for a while that a limit was withdrawn', async () => {
+    const { clock, controller, target, setLimit } = makeController();
+    setLimit(2.5);
     await clock.advance(1_000);
-    name(undefined);
-    duty.beginReport(1);
-    expect(duty.buildReport().limits.get(target.incarnationId)).toEqual({
+    setLimit(undefined);
+    controller.beginReport(1);
+    expect(controller.buildReport().limits.get(target.incarnationId)).toEqual({
       perSecond: undefined,
       ageMilliseconds: 0,
     });
     await clock.advance(10_001);
-    duty.sweep();
-    expect(duty.buildReport().limits.size).toBe(0);
+    controller.sweep();
+    expect(controller.buildReport().limits.size).toBe(0);
   });
 
-  it('does not take a lifted limit up again by what an older word says', async () => {
-    const { clock, duty, target, name } = makeDuty();
-    name(2.5);
+  it('does not restore a withdrawn limit from an older report', async () => {
+    const { clock, controller, target, setLimit } = makeController();
+    setLimit(2.5);
     await clock.advance(1_000);
-    name(undefined);
-    duty.mergeHostReport(other, told(target.incarnationId, 2.5, 900));
+    setLimit(undefined);
+    controller.mergeHostReport(other, reportOf(target.incarnationId, 2.5, 900));
     expect(target.signals.limit.perSecond).toBeUndefined();
   });
 
-  it('counts with as much of a limit as it hears of the hosts, less after it was suspended', async () => {
-    const { clock, duty, target, name, heard } = makeDuty();
-    name(8);
-    const part = (): number => duty.limits.usageOf(target)?.partPerSecond ?? 0;
-    const whole = part();
-    heard.clear();
-    duty.sweep();
-    expect(part()).toBeLessThan(0.3 * whole);
-    heard.add('host-2').add('host-3').add('host-4');
-    duty.sweep();
-    expect(part()).toBe(whole);
+  it('scales its share of a limit by the live hosts, and reduces it after a suspension', async () => {
+    const { clock, controller, target, setLimit, alive } = makeController();
+    setLimit(8);
+    const share = (): number => controller.limits.usageOf(target)?.partPerSecond ?? 0;
+    const whole = share();
+    alive.clear();
+    controller.sweep();
+    expect(share()).toBeLessThan(0.3 * whole);
+    alive.add('host-2').add('host-3').add('host-4');
+    controller.sweep();
+    expect(share()).toBe(whole);
     await clock.advance(5_000);
-    expect(part()).toBeLessThan(0.3 * whole);
+    expect(share()).toBeLessThan(0.3 * whole);
   });
 
-  it('sends nothing more once others are told to have used it up', async () => {
-    const { clock, duty, target, name } = makeDuty();
-    name(2);
+  it('sends nothing once other hosts have used up the limit', async () => {
+    const { clock, controller, target, setLimit } = makeController();
+    setLimit(2);
     await clock.advance(4_000);
-    duty.sweep();
+    controller.sweep();
     const usage = { used: { [target.incarnationId]: 8 }, demand: { [target.incarnationId]: 1 } };
-    duty.mergeHostReport(other, { ...told(target.incarnationId, 2), usage });
-    const taken = Array.from({ length: 50 }, () => duty.limits.tryAcquire(target));
+    controller.mergeHostReport(other, { ...reportOf(target.incarnationId, 2), usage });
+    const taken = Array.from({ length: 50 }, () => controller.limits.tryAcquire(target));
     expect(taken).not.toContain(true);
   });
 });
--- a/packages/entry/tests/request/account-metrics.test.ts
+++ b/packages/entry/tests/request/account-metrics.test.ts
@@ -21,7 +21,7 @@
     expect(metrics.rows).toEqual([{ account: 'haulier', served: 3, failed: 1, overLimit: 2 }]);
   });
 
-  it('tells the largest and the worst served of many, and no more', () => {
+  it('reports only the largest and the worst served of many accounts', () => {
     const metrics = new AccountMetrics();
     for (let index = 0; index < 500; index++) {
       recordMany(metrics, `account-${index}`, { served: 500 - index });
@@ -33,7 +33,7 @@
     expect(names.length).toBeLessThanOrEqual(40);
   });
 
-  it('takes what lies beyond a limit for no failure', () => {
+  it('does not count requests beyond a limit as failures', () => {
     const metrics = new AccountMetrics();
     for (let index = 0; index < 30; index++) {
       recordMany(metrics, `large-${index}`, { served: 100 });
--- a/packages/entry/tests/request/body-reader.test.ts
+++ b/packages/entry/tests/request/body-reader.test.ts
@@ -7,7 +7,7 @@
 import { afterEach, beforeEach, expect, test } from 'vitest';
 import { BodyReader } from '../../src/request/body-reader.js';
 
-const HELD_BYTES = 1_000;
+const BUFFER_BYTES = 1_000;
 
 let server: Server;
 let caller: Socket;
@@ -26,7 +26,7 @@
   await once(server, 'close');
 });
 
-/** The request whose head and first bytes a caller has sent. */
+/** Sends the head and the first bytes of a request and returns the request as received. */
 async function receive(headers: string, firstBytes: string): Promise<IncomingMessage> {
   const received = once(server, 'request');
   caller.write(`POST / HTTP/1.1\r\nhost: a.example\r\n${headers}\r\n\r\n${firstBytes}`);
@@ -34,22 +34,22 @@
   return request;
 }
 
-test('reads a body with a length', async () => {
-  const bodies = new BodyReader(clock, HELD_BYTES);
+test('reads a body with a declared length', async () => {
+  const bodies = new BodyReader(clock, BUFFER_BYTES);
   const request = await receive('content-length: 4', 'abcd');
   const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.unwrap()?.toString()).toBe('abcd');
 });
 
-test('there is no body without a length and chunks', async () => {
-  const bodies = new BodyReader(clock, HELD_BYTES);
+test('returns undefined without a content-length or chunked encoding', async () => {
+  const bodies = new BodyReader(clock, BUFFER_BYTES);
   const request = await receive('accept: a/b', '');
   const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.unwrap()).toBeUndefined();
 });
 
-test('does not wait past its end for a body that comes slowly', async () => {
-  const bodies = new BodyReader(clock, HELD_BYTES);
+test('stops waiting for a slowRequest body at the deadline', async () => {
+  const bodies = new BodyReader(clock, BUFFER_BYTES);
   const request = await receive('content-length: 4', 'ab');
   const reading = bodies.read(request, { maxBytes: 4, deadlineAt: clock.now() + 800 });
   await clock.advance(800);
@@ -57,10 +57,10 @@
   expect(body.isErr() && body.error).toBe('too-late');
 });
 
-test('a body that was given up holds no bytes', async () => {
+test('releases the buffered bytes of an abandoned body', async () => {
   const bodies = new BodyReader(clock, 4);
-  const slow = await receive('content-length: 4', 'ab');
-  const reading = bodies.read(slow, { maxBytes: 4, deadlineAt: clock.now() + 800 });
+  const slowRequest = await receive('content-length: 4', 'ab');
+  const reading = bodies.read(slowRequest, { maxBytes: 4, deadlineAt: clock.now() + 800 });
   await clock.advance(800);
   await reading;
   caller.destroy();
@@ -73,22 +73,22 @@
 test.each([
   { name: 'a declared length', headers: 'content-length: 5', bytes: '' },
   { name: 'chunks', headers: 'transfer-encoding: chunked', bytes: '5\r\nabcde\r\n0\r\n\r\n' },
-])('refuses more bytes than are allowed by $name', async ({ headers, bytes }) => {
-  const bodies = new BodyReader(clock, HELD_BYTES);
+])('rejects a body that exceeds the limit by $name', async ({ headers, bytes }) => {
+  const bodies = new BodyReader(clock, BUFFER_BYTES);
   const request = await receive(headers, bytes);
   const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.isErr() && body.error).toBe('too-large');
 });
 
-test('refuses a body where all bodies together would hold too much', async () => {
+test('rejects a body when all bodies together exceed the buffer limit', async () => {
   const bodies = new BodyReader(clock, 3);
   const request = await receive('content-length: 4', 'abcd');
   const body = await bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   expect(body.isErr() && body.error).toBe('too-many-bytes-held');
 });
 
-test('tells that the caller left in the middle of its body', async () => {
-  const bodies = new BodyReader(clock, HELD_BYTES);
+test('reports a caller that disconnects in the middle of its body', async () => {
+  const bodies = new BodyReader(clock, BUFFER_BYTES);
   const request = await receive('content-length: 4', 'ab');
   const reading = bodies.read(request, { maxBytes: 4, deadlineAt: Infinity });
   caller.destroy();
--- a/packages/entry/tests/request/retry-after.test.ts
+++ b/packages/entry/tests/request/retry-after.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { parseRetryAfter } from '../../src/index.js';
 
-describe('readRest', () => {
+describe('parseRetryAfter', () => {
   it.each([
     ['3', 3_000],
     ['0.25', 250],
@@ -14,7 +14,7 @@
     ['', Number.NaN],
     ['Thu, 03 Dec 2026 03:42:51 GMT', Number.NaN],
     [undefined, undefined],
-  ])('reads %j as %d ms', (header, milliseconds) => {
+  ])('parses %j as %d ms', (header, milliseconds) => {
     expect(parseRetryAfter(header)).toEqual(milliseconds);
   });
 });
--- a/packages/entry/tests/request/target-client.test.ts
+++ b/packages/entry/tests/request/target-client.test.ts
@@ -7,12 +7,12 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\n';
 
-/** A target that answers each request with what the function does to its connection. */
-async function startTarget(answer: (socket: Socket, request: string) => void): Promise<Server> {
+/** Starts a target that passes each request to a function, which responds on the connection. */
+async function startTarget(respond: (socket: Socket, request: string) => void): Promise<Server> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.on('data', (bytes) => {
-      answer(socket, bytes.toString());
+      respond(socket, bytes.toString());
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -26,10 +26,10 @@
   afterEach(() => server.close());
 
   async function send(
-    answer: (socket: Socket, request: string) => void,
+    respond: (socket: Socket, request: string) => void,
     changes: Partial<TargetRequest> = {},
   ): Promise<SendOutcome> {
-    server = await startTarget(answer);
+    server = await startTarget(respond);
     const { port } = server.address() as AddressInfo;
     return client.send({
       address: `127.0.0.1:${port}`,
@@ -44,12 +44,12 @@
     }).outcome;
   }
 
-  it('takes an answer without length as whole where its connection ends in order', async () => {
+  it('accepts a response without length if its connection ends gracefully', async () => {
     const outcome = await send((socket) => socket.end(`${HEAD}\r\nwhole`));
-    expect(outcome).toMatchObject({ kind: 'answered', answer: { body: Buffer.from('whole') } });
+    expect(outcome).toMatchObject({ kind: 'answered', respond: { body: Buffer.from('whole') } });
   });
 
-  it('sends nothing that its target wants no more once the connection is up', async () => {
+  it('sends nothing if the request is no longer allowed once connected', async () => {
     let requests = 0;
     const outcome = await send(
       (socket) => {
@@ -63,19 +63,19 @@
     expect(requests).toBe(0);
   });
 
-  it('takes an answer without length as broken where its connection is reset', async () => {
+  it('rejects a response without length if its connection is reset', async () => {
     const outcome = await send((socket) => {
       socket.write(`${HEAD}\r\nhalf`, () => setTimeout(() => socket.resetAndDestroy(), 30));
     });
     expect(outcome.kind).toBe('broken');
   });
 
-  it('takes an answer that is shorter than its length as broken', async () => {
+  it('rejects a response that is shorter than its length', async () => {
     const outcome = await send((socket) => socket.end(`${HEAD}content-length: 9\r\n\r\nhalf`));
     expect(outcome.kind).toBe('broken');
   });
 
-  it('takes an answer that the examiner refuses as broken and ends the connection', async () => {
+  it('rejects a response that fails the head check and closes the connection', async () => {
     const closed = new Promise<string>((resolve) => {
       void send(
         (socket) => {
@@ -92,7 +92,7 @@
     expect(await closed).toBe('closed');
   });
 
-  it('says that nothing was sent where no connection comes about', async () => {
+  it('reports that nothing was sent if the connection fails', async () => {
     const outcome = await client.send({
       address: '127.0.0.1:1',
       method: 'GET',
@@ -107,7 +107,7 @@
     server = await startTarget(() => undefined);
   });
 
-  it('gives each request a connection of its own where asked to', async () => {
+  it('uses a new connection for each request on demand', async () => {
     let connections = 0;
     server = await startTarget((socket) => socket.write(`${HEAD}content-length: 0\r\n\r\n`));
     server.on('connection', () => connections++);
--- a/packages/entry/tests/request/target-send.test.ts
+++ b/packages/entry/tests/request/target-send.test.ts
@@ -17,14 +17,12 @@
 import type { TargetSendOptions } from '../../src/request/target-send.js';
 
 /**
- * Callers that leave before a far target's answer is there. The pattern is hosts whose way to half of the targets and back
- * takes 75 ms, and callers that wait for half of an aim of 400 ms: of a request that was turned away elsewhere first, none
- * hears the second answer.
+ * Guards against losing the signals of remote targets when callers disconnect before a response.
  */
-const WAY_AND_BACK_MILLISECONDS = 75;
+const ROUND_TRIP_MILLISECONDS = 75;
 const REST_MILLISECONDS = 3_000;
 
-const FACTS: ResponseMetadata = {
+const METADATA: ResponseMetadata = {
   requestId: 'request-1',
   isNotRun: false,
   isOtherTarget: false,
@@ -41,11 +39,13 @@
   consumedHeaders: new Set<string>(),
   encodeForward: () => ({}),
   decodeResponse: (status: number) =>
-    status === 503 ? { ...FACTS, isNotRun: true, restMilliseconds: REST_MILLISECONDS } : FACTS,
+    status === 503
+      ? { ...METADATA, isNotRun: true, restMilliseconds: REST_MILLISECONDS }
+      : METADATA,
 } satisfies Partial<HeaderCodec>;
 
-/** A send whose course the test decides. */
-class EmulatedSend implements SendHandle {
+/** A send that the test controls. */
+class ControlledSend implements SendHandle {
   readonly outcome: Promise<SendOutcome>;
   cancelledAt: number | undefined;
   startedAt: number | undefined;
@@ -96,15 +96,15 @@
   });
   const record = makeTargetRecord();
   service.put(record);
-  service.roundTripTimes.record(record.failureDomain, WAY_AND_BACK_MILLISECONDS);
+  service.roundTripTimes.record(record.failureDomain, ROUND_TRIP_MILLISECONDS);
   const target = service.targets.get(record.id);
   if (target === undefined) {
     throw new Error('expected a target');
   }
   target.signals.limit.record(limitPerSecond, { sentAt: 0, now: 0 });
-  /** What is asked of the target's limit. */
-  const given: ('asked' | 'back')[] = [];
-  const sends: EmulatedSend[] = [];
+  /** Calls to the target's limit. */
+  const limitCalls: ('asked' | 'back')[] = [];
+  const sends: ControlledSend[] = [];
   const events = new EventLog(silentLogger);
   const exchange = {
     request: { method: 'GET', headers: {} },
@@ -119,7 +119,7 @@
     events,
     client: {
       send: (request: TargetRequest) => {
-        const send = new EmulatedSend(request, clock);
+        const send = new ControlledSend(request, clock);
         sends.push(send);
         return send;
       },
@@ -127,11 +127,11 @@
     signalRecorder: new TargetSignalRecorder({ clock, events, onLimitChange: () => undefined }),
     limits: {
       tryAcquire: () => {
-        given.push('asked');
+        limitCalls.push('asked');
         return false;
       },
       release: () => {
-        given.push('back');
+        limitCalls.push('back');
       },
     },
     codec: dialect,
@@ -140,81 +140,81 @@
     exchange: exchange as unknown as RoutedExchange,
   };
   const send = new TargetSend(options as unknown as TargetSendOptions);
-  const [emulated] = sends;
-  if (emulated === undefined) {
+  const [controlled] = sends;
+  if (controlled === undefined) {
     throw new Error('expected a send');
   }
-  return { clock, target, send, emulated, given };
+  return { clock, target, send, controlled, limitCalls };
 }
 
-describe('a send whose caller leaves', () => {
-  it('is heard out for as long as the way takes, so that a rest is not missed', async () => {
-    const { clock, target, send, emulated } = setUp();
-    emulated.start();
+describe('a send whose caller disconnects', () => {
+  it('waits for one round trip, so that a requested rest is not missed', async () => {
+    const { clock, target, send, controlled } = setUp();
+    controlled.start();
     await clock.advance(50);
     send.cancel('caller-gone');
-    expect(emulated.cancelledAt).toBeUndefined();
+    expect(controlled.cancelledAt).toBeUndefined();
     await clock.advance(25);
-    emulated.turnAway();
+    controlled.turnAway();
     await clock.advance(0);
     expect(target.isResting(clock.now())).toBe(true);
     expect(target.inFlight).toBe(0);
   });
 
-  it('ends at its target once a refusal would have come, well within half a second', async () => {
-    const { clock, send, emulated } = setUp();
-    emulated.start();
+  it('is cancelled at the target once a refusal is overdue', async () => {
+    const { clock, send, controlled } = setUp();
+    controlled.start();
     await clock.advance(10);
     send.cancel('caller-gone');
     await clock.advance(1_000);
-    expect(emulated.cancelledAt).toBeGreaterThanOrEqual(WAY_AND_BACK_MILLISECONDS);
-    expect(emulated.cancelledAt).toBeLessThanOrEqual(300);
+    expect(controlled.cancelledAt).toBeGreaterThanOrEqual(ROUND_TRIP_MILLISECONDS);
+    expect(controlled.cancelledAt).toBeLessThanOrEqual(300);
     expect(await send.verdict).toMatchObject({ kind: 'ended', cause: 'caller-gone' });
   });
 
-  it('ends at once where that time is over, or nothing has left', async () => {
-    const late = setUp();
-    late.emulated.start();
-    await late.clock.advance(400);
-    late.send.cancel('caller-gone');
-    expect(late.emulated.cancelledAt).toBe(400);
+  it('is cancelled immediately if a refusal is overdue or nothing was sent', async () => {
+    const overdue = setUp();
+    overdue.controlled.start();
+    await overdue.clock.advance(400);
+    overdue.send.cancel('caller-gone');
+    expect(overdue.controlled.cancelledAt).toBe(400);
     const unsent = setUp();
     unsent.send.cancel('caller-gone');
-    expect(unsent.emulated.cancelledAt).toBe(0);
+    expect(unsent.controlled.cancelledAt).toBe(0);
   });
 
-  it('ends at once where its time is over: its caller waits for an answer', async () => {
-    const { clock, send, emulated } = setUp();
-    emulated.start();
+  it('is cancelled immediately at the deadline', async () => {
+    const { clock, send, controlled } = setUp();
+    controlled.start();
     await clock.advance(10);
     send.cancel('deadline');
-    expect(emulated.cancelledAt).toBe(10);
+    expect(controlled.cancelledAt).toBe(10);
     await clock.advance(0);
   });
 });
 
-describe('a send to a target that names a limit', () => {
-  it('gives its place back where it never left', async () => {
-    const { send, given } = setUp({ limitPerSecond: 2 });
+describe('a send to a target with a limit', () => {
+  it('releases its permit if nothing was sent', async () => {
+    const { send, limitCalls } = setUp({ limitPerSecond: 2 });
     send.cancel('caller-gone');
     expect(await send.verdict).toMatchObject({ kind: 'ended', wasSent: false });
-    expect(given).toEqual(['back']);
+    expect(limitCalls).toEqual(['back']);
   });
 
-  it('keeps its place where it has reached the target, though it is cancelled', async () => {
-    const { clock, send, emulated, given } = setUp({ limitPerSecond: 2 });
-    emulated.start();
+  it('keeps its permit if it is cancelled after it was sent', async () => {
+    const { clock, send, controlled, limitCalls } = setUp({ limitPerSecond: 2 });
+    controlled.start();
     send.cancel('deadline');
     await clock.advance(0);
-    expect(given).toEqual([]);
+    expect(limitCalls).toEqual([]);
   });
 
-  it('asks for a place before its first byte where the word came while it waited for a connection', () => {
-    const { target, emulated, given } = setUp();
-    expect(emulated.request.isStillAllowed()).toBe(true);
-    expect(given).toEqual([]);
+  it('acquires a permit if the limit arrives while it waits for a connection', () => {
+    const { target, controlled, limitCalls } = setUp();
+    expect(controlled.request.isStillAllowed()).toBe(true);
+    expect(limitCalls).toEqual([]);
     target.signals.limit.record(2, { sentAt: 0, now: 0 });
-    expect(emulated.request.isStillAllowed()).toBe(false);
-    expect(given).toEqual(['asked']);
+    expect(controlled.request.isStillAllowed()).toBe(false);
+    expect(limitCalls).toEqual(['asked']);
   });
 });
--- a/packages/entry/tests/request/target-signal-recorder.test.ts
+++ b/packages/entry/tests/request/target-signal-recorder.test.ts
@@ -6,14 +6,14 @@
 import { TargetSignalRecorder } from '../../src/request/target-signal-recorder.js';
 
 const SERVICE = { name: 'verdict-api' };
-const SAYS_NOTHING = {
+const NO_SIGNALS = {
   isLeaving: false,
   restMilliseconds: undefined,
   limitPerSecond: undefined,
   unknownHeaders: [],
 };
 
-function makeWords() {
+function makeRecorder() {
   const clock = new FakeClock();
   const limited: string[] = [];
   const lines: Pick<EntryEvent, 'event'>[] = [];
@@ -21,7 +21,7 @@
     lines.push({ event, ...fields } as EntryEvent);
   };
   const logger = { info, warn: info, error: info };
-  const words = new TargetSignalRecorder({
+  const recorder = new TargetSignalRecorder({
     clock,
     events: new EventLog(logger as never),
     onLimitChange: ({ id }) => {
@@ -29,82 +29,82 @@
     },
   });
   const target = new TargetState(makeTargetRecord({ bornAt: 1 }), 0);
-  return { clock, words, target, lines, limited };
+  return { clock, recorder, target, lines, limited };
 }
 
-describe('TargetWords', () => {
-  it('counts a rest once until its end, and what is sent meanwhile', async () => {
-    const { clock, words, target, lines } = makeWords();
-    words.recordSend(target);
-    words.recordResponse(
+describe('TargetSignalRecorder', () => {
+  it('counts a rest once until its end, and the requests sent meanwhile', async () => {
+    const { clock, recorder, target, lines } = makeRecorder();
+    recorder.recordSend(target);
+    recorder.recordResponse(
       SERVICE,
       target,
-      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 3_000 },
+      { ...NO_SIGNALS, isLeaving: false, restMilliseconds: 3_000 },
       0,
     );
-    words.recordResponse(
+    recorder.recordResponse(
       SERVICE,
       target,
-      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 3_000 },
+      { ...NO_SIGNALS, isLeaving: false, restMilliseconds: 3_000 },
       0,
     );
-    words.recordSend(target);
-    expect([words.rests, words.unwantedSends]).toEqual([1, 1]);
+    recorder.recordSend(target);
+    expect([recorder.rests, recorder.unwantedSends]).toEqual([1, 1]);
     expect(lines).toMatchObject([
       { event: 'target', target: 'target-1', start: target.incarnationId, state: 'resting' },
     ]);
     await clock.advance(3_000);
-    words.recordSend(target);
-    words.recordResponse(
+    recorder.recordSend(target);
+    recorder.recordResponse(
       SERVICE,
       target,
-      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: 400 },
+      { ...NO_SIGNALS, isLeaving: false, restMilliseconds: 400 },
       0,
     );
-    expect([words.rests, words.unwantedSends]).toEqual([2, 1]);
+    expect([recorder.rests, recorder.unwantedSends]).toEqual([2, 1]);
     expect(lines).toHaveLength(1);
   });
 
-  it('writes once that a target leaves, and counts what is sent there afterwards', () => {
-    const { words, target, lines } = makeWords();
-    words.recordResponse(
+  it('logs a shutdown once and counts the requests sent afterwards', () => {
+    const { recorder, target, lines } = makeRecorder();
+    recorder.recordResponse(
       SERVICE,
       target,
-      { ...SAYS_NOTHING, isLeaving: true, restMilliseconds: undefined },
+      { ...NO_SIGNALS, isLeaving: true, restMilliseconds: undefined },
       0,
     );
-    words.recordResponse(
+    recorder.recordResponse(
       SERVICE,
       target,
-      { ...SAYS_NOTHING, isLeaving: true, restMilliseconds: undefined },
+      { ...NO_SIGNALS, isLeaving: true, restMilliseconds: undefined },
       0,
     );
-    words.recordSend(target);
-    expect([words.leaving, words.unwantedSends]).toEqual([1, 1]);
+    recorder.recordSend(target);
+    expect([recorder.leaving, recorder.unwantedSends]).toEqual([1, 1]);
     expect(lines).toMatchObject([{ event: 'target', state: 'leaving' }]);
   });
 
-  it('writes that a rest could not be read, and makes nothing of it', () => {
-    const { words, target, lines } = makeWords();
-    words.recordResponse(
+  it('logs and ignores an invalid rest', () => {
+    const { recorder, target, lines } = makeRecorder();
+    recorder.recordResponse(
       SERVICE,
       target,
-      { ...SAYS_NOTHING, isLeaving: false, restMilliseconds: Number.NaN },
+      { ...NO_SIGNALS, isLeaving: false, restMilliseconds: Number.NaN },
       0,
     );
-    words.recordSend(target);
-    expect([words.rests, words.unwantedSends]).toEqual([0, 0]);
+    recorder.recordSend(target);
+    expect([recorder.rests, recorder.unwantedSends]).toEqual([0, 0]);
     expect(lines).toMatchObject([{ event: 'unreadable-answer', target: 'target-1' }]);
   });
 
-  it('writes when a target names a limit, and another one or none, and counts what is sent meanwhile', () => {
-    const { words, target, lines, limited } = makeWords();
-    words.recordSend(target);
+  it('logs each change of a limit and counts the requests sent meanwhile', () => {
+    const { recorder, target, lines, limited } = makeRecorder();
+    recorder.recordSend(target);
     for (const limitPerSecond of [2.5, 2.5, 4, undefined]) {
-      words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond }, 0);
-      words.recordSend(target);
+      recorder.recordResponse(SERVICE, target, { ...NO_SIGNALS, limitPerSecond }, 0);
+      recorder.recordSend(target);
     }
-    expect([words.limits, words.limitedSends]).toEqual([2, 3]);
+    expect([recorder.limits, recorder.limitedSends]).toEqual([2, 3]);
     expect(limited).toHaveLength(3);
     expect(lines).toMatchObject([
       { state: 'limited', detail: 'takes 2.5 requests a second', start: target.incarnationId },
@@ -113,19 +113,19 @@
     ]);
   });
 
-  it('keeps the limit that it has where another one could not be read', () => {
-    const { words, target, lines } = makeWords();
-    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond: 2.5 }, 0);
-    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, limitPerSecond: Number.NaN }, 0);
+  it('keeps the current limit if a new one is invalid', () => {
+    const { recorder, target, lines } = makeRecorder();
+    recorder.recordResponse(SERVICE, target, { ...NO_SIGNALS, limitPerSecond: 2.5 }, 0);
+    recorder.recordResponse(SERVICE, target, { ...NO_SIGNALS, limitPerSecond: Number.NaN }, 0);
     expect(target.signals.limit.perSecond).toBe(2.5);
     expect(lines.at(-1)).toMatchObject({ event: 'unreadable-answer', target: 'target-1' });
   });
 
-  it('writes the name of a header that it does not know, once for each and for few', () => {
-    const { words, target, lines } = makeWords();
+  it('logs the name of an unknown header once, and only a few of them', () => {
+    const { recorder, target, lines } = makeRecorder();
     const names = Array.from({ length: 100 }, (_, index) => `server-${index}-${'x'.repeat(200)}`);
-    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, unknownHeaders: names }, 0);
-    words.recordResponse(SERVICE, target, { ...SAYS_NOTHING, unknownHeaders: names }, 0);
+    recorder.recordResponse(SERVICE, target, { ...NO_SIGNALS, unknownHeaders: names }, 0);
+    recorder.recordResponse(SERVICE, target, { ...NO_SIGNALS, unknownHeaders: names }, 0);
     expect(lines).toHaveLength(32);
     expect(lines[0]).toEqual({
       event: 'unknown-header',
--- a/packages/entry/tests/routing/placement-controller.test.ts
+++ b/packages/entry/tests/routing/placement-controller.test.ts
@@ -5,8 +5,8 @@
 import { PlacementController } from '../../src/routing/placement-controller.js';
 import { hostChange, captureEvents, makeRoutingState, targetChange } from '../fixtures.js';
 
-/** This host in `jylland`, another in `fyn`, with targets in both. */
-function makeDuty() {
+/** A controller in `jylland` with another host in `fyn` and targets in both regions. */
+function makeController() {
   const clock = new FakeClock();
   const { log } = captureEvents();
   const view = new FleetView();
@@ -20,7 +20,7 @@
     targetChange(1, { id: 'c', failureDomain: 'fyn' }),
     targetChange(1, { id: 'd', failureDomain: 'fyn' }),
   ]);
-  const duty = new PlacementController({
+  const controller = new PlacementController({
     clock,
     view,
     peers,
@@ -32,27 +32,27 @@
   if (service === undefined) {
     throw new Error('expected the targets’ service');
   }
-  return { clock, peers, duty, service };
+  return { clock, peers, controller, service };
 }
 
-describe('PlacementDuty', () => {
-  it('tells what callers ask of each service, and nothing of one that none asks', () => {
-    const { duty, service } = makeDuty();
-    expect(duty.ownDemand).toEqual({});
+describe('PlacementController', () => {
+  it('returns the demand for each service that has any', () => {
+    const { controller, service } = makeController();
+    expect(controller.ownDemand).toEqual({});
     service.requestRate.record();
-    expect(Object.keys(duty.ownDemand)).toEqual([service.name]);
+    expect(Object.keys(controller.ownDemand)).toEqual([service.name]);
   });
 
-  it('takes callers for equally demanding until it hears of any', () => {
-    const { duty, service } = makeDuty();
-    duty.sweep();
+  it('assumes equal demand in all regions until demand is reported', () => {
+    const { controller, service } = makeController();
+    controller.sweep();
     expect(service.placement.homeShare('jylland')).toBeCloseTo((6 * 2) / 24);
     expect(service.placement.homeShare('fyn')).toBe(1);
   });
 
-  it('counts what hosts of other regions are asked for', async () => {
-    const { clock, duty, peers, service } = makeDuty();
-    duty.sweep();
+  it('includes the demand reported by hosts of other regions', async () => {
+    const { clock, controller, peers, service } = makeController();
+    controller.sweep();
     const target = service.targets.get('a');
     if (target === undefined) {
       throw new Error('expected a target');
@@ -67,9 +67,9 @@
       await clock.advance(500);
       const status = { name: 'host-2', incarnation: 'first', sequence, leaving: false };
       peers.update({ ...status, utilization: 0, asked: { [service.name]: 60 } }, 'itself');
-      duty.sweep();
+      controller.sweep();
     }
-    // Six busy slots of 18 in the other region, none here: all keys stay where they are asked for.
+    // The other region uses 6 of 18 slots and this one none, so all keys stay in their region.
     expect(service.placement.homeShare('jylland')).toBe(1);
     const other = service.placement.parts.find(({ region }) => region === 'fyn');
     expect(other?.work).toBeCloseTo(6);
--- a/packages/entry/tests/routing/routing-state.test.ts
+++ b/packages/entry/tests/routing/routing-state.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('RoutingState', () => {
-  it('knows a target at one service alone, the one of its last start', () => {
+  it('assigns a target only to the service of its newest incarnation', () => {
     const { put, serviceOf, find } = setUp();
     put({ bornAt: 1_000, service: 'verdict-api' });
     put({ bornAt: 2_000, service: 'sorter-gate' });
@@ -35,7 +35,7 @@
   it.each([
     ['of the same service', {}],
     ['of another service', { service: 'verdict-api' }],
-  ])('changes nothing by a late record of an earlier start %s', (_case, changes) => {
+  ])('ignores a late record of an earlier incarnation %s', (_case, changes) => {
     const { put, serviceOf, find, events } = setUp();
     put({ bornAt: 2_000, sequence: 1, service: 'sorter-gate' });
     const target = find();
@@ -47,7 +47,7 @@
     expect(events).toHaveLength(lines);
   });
 
-  it('writes a line for another start of a target', () => {
+  it('logs a new incarnation of a target', () => {
     const { put, events } = setUp();
     put({ bornAt: 1_000, state: 'draining' });
     put({ bornAt: 2_000 });
--- a/packages/entry/tests/suspects/check-connection.test.ts
+++ b/packages/entry/tests/suspects/check-connection.test.ts
@@ -10,19 +10,19 @@
 }
 
 describe('checkConnection', () => {
-  it('is taken where somebody listens', async () => {
+  it('returns taken if a process listens', async () => {
     const { server, address } = await listen();
     expect(await checkConnection(address)).toBe('taken');
     server.close();
   });
 
-  it('is refused where nobody listens any more', async () => {
+  it('returns refused if no process listens any more', async () => {
     const { server, address } = await listen();
     await new Promise((resolve) => server.close(resolve));
     expect(await checkConnection(address)).toBe('refused');
   });
 
-  it('says nothing of a process where the address cannot be reached', async () => {
+  it('returns unknown if the address is unreachable', async () => {
     expect(await checkConnection('255.255.255.255:1')).toBe('unknown');
   });
 });
--- a/packages/entry/tests/suspects/crashing-requests.test.ts
+++ b/packages/entry/tests/suspects/crashing-requests.test.ts
@@ -1,20 +1,6 @@
 /**
- * An incident. On a deployment of ten hosts and twenty targets of one look-up service, ten targets in three
- * regions ended within 0.7 s, came back as new starts some seconds later, and ended again, for 45 s: 110 ends in
- * all, of which 42 and 36 were under two look-ups. In between 0 to 3 in 100 look-ups were served in time.
- *
- * How it came about: a target that begins to run such a look-up ends. Its host sends the look-up to a second
- * target, which ends too; the caller gets a failure and sends it again, under another id, to another host.
- *
- * Cause: no host knew more than that a target of its own had closed its connection, and nothing tied together
- * sends of one request under different ids at different hosts. Each was taken for a new request, for ever.
- *
- * Proved by the hosts' lines: each of the first ten ends came 46 to 163 ms after the send of a request that lost
- * both of its targets; the targets were warm and had 0 to 7 requests for 6 slots, which rules load out; new
- * connections were refused at once, which rules lost answers out.
- *
- * Pattern: calls of it come in waves, five within 0.7 s at hosts of all regions, each sent again by its
- * caller, among 200 look-ups a second for 72 objects. All in virtual time and without a network.
+ * Guards against a request that crashes each target that runs it and spreads over the fleet by
+ * retries of hosts and callers, because no host recognizes the repetitions at other hosts.
  */
 import type { RepeatedRequest } from '@ferrylock/test-utils';
 import { CrashFleet, FakeClock } from '@ferrylock/test-utils';
@@ -22,14 +8,14 @@
 
 const TEST_MILLISECONDS = 120_000;
 const SETTLE_MILLISECONDS = 4_000;
-/** What the deployment allows hosts to come to know something in. */
+/** Time within which hosts must receive a report. */
 const CONNECTIVITY_MILLISECONDS = 4_000;
-/** Targets that end before anything is made of it, and sends that may come after that. */
-const ENDS_BEFORE = 3;
-const MOST_SENDS_AFTER = 3;
+/** Crashes until a request is a suspect, and sends that are tolerated afterwards. */
+const CRASHES_BEFORE = 3;
+const MAX_SENDS_AFTER = 3;
 const OBJECTS = 72;
 const LOOK_UPS_PER_SECOND = 200;
-const WAVE_CALLS = 5;
+const WAVE_REQUESTS = 5;
 const WAVE_MILLISECONDS = 700;
 
 const crashing = (name: string): RepeatedRequest => ({ name, crashes: true });
@@ -41,133 +27,133 @@
   return { clock, crashes };
 }
 
-/** Callers of ordinary objects, until a moment. */
-function callForObjects(crashes: CrashFleet, until: number): void {
+/** Sends requests for ordinary objects until a given time. */
+function requestObjects(crashes: CrashFleet, until: number): void {
   for (let object = 0; object < OBJECTS; object++) {
     const request = { name: `object-${object}`, crashes: false };
     void crashes.call(request, LOOK_UPS_PER_SECOND / OBJECTS, until);
   }
 }
 
-/** Five callers at as many hosts, each of which asks again when it has lost its first try. */
-async function callWave(
+/** Sends a request to five hosts; callers retry at the next host when the first attempt is lost. */
+async function sendWave(
   crashes: CrashFleet,
   clock: FakeClock,
   request: RepeatedRequest,
 ): Promise<void> {
   const hosts = crashes.fleet.hosts.length;
-  for (let call = 0; call < WAVE_CALLS; call++) {
-    const host = Math.floor((call * hosts) / WAVE_CALLS);
+  for (let call = 0; call < WAVE_REQUESTS; call++) {
+    const host = Math.floor((call * hosts) / WAVE_REQUESTS);
     void crashes.ask(host, request).then((answer) => {
       if (answer === 'lost') {
         void crashes.ask((host + 1) % hosts, request);
       }
     });
-    await clock.advance(WAVE_MILLISECONDS / WAVE_CALLS);
+    await clock.advance(WAVE_MILLISECONDS / WAVE_REQUESTS);
   }
 }
 
-/** Sends that came later than hosts had to know of the third end. */
+/** Counts sends after the time at which hosts had to know the third crash. */
 function sendsAfter(crashes: CrashFleet, name: string): number {
-  return crashes.sentAfter(name, crashes.endedAt(name, ENDS_BEFORE) + CONNECTIVITY_MILLISECONDS);
+  return crashes.sentAfter(name, crashes.endedAt(name, CRASHES_BEFORE) + CONNECTIVITY_MILLISECONDS);
 }
 
-describe('a request that ends each target that runs it', { timeout: TEST_MILLISECONDS }, () => {
-  it('is sent three times more at most once three have ended, at 12 and at 65 hosts', async () => {
+describe('a request that crashes each target', { timeout: TEST_MILLISECONDS }, () => {
+  it('is sent at most three times after three crashes, at 12 and at 65 hosts', async () => {
     for (const [hosts = 0, targets = 0] of [
       [12, 20],
       [65, 60],
     ]) {
       const { clock, crashes } = await setUp(hosts, targets);
-      callForObjects(crashes, clock.now() + 40_000);
+      requestObjects(crashes, clock.now() + 40_000);
       for (let wave = 0; wave < 12; wave++) {
-        await callWave(crashes, clock, crashing('bad'));
+        await sendWave(crashes, clock, crashing('bad'));
         await clock.advance(2_000);
       }
-      expect(crashes.endedAt('bad', ENDS_BEFORE)).toBeLessThan(Infinity);
-      expect(sendsAfter(crashes, 'bad')).toBeLessThanOrEqual(MOST_SENDS_AFTER);
+      expect(crashes.endedAt('bad', CRASHES_BEFORE)).toBeLessThan(Infinity);
+      expect(sendsAfter(crashes, 'bad')).toBeLessThanOrEqual(MAX_SENDS_AFTER);
     }
   });
 
-  it('is known also where there are two of them at the same time', async () => {
+  it('is detected if there are two of them at the same time', async () => {
     const { clock, crashes } = await setUp(12, 20);
-    callForObjects(crashes, clock.now() + 40_000);
+    requestObjects(crashes, clock.now() + 40_000);
     for (let wave = 0; wave < 12; wave++) {
-      await callWave(crashes, clock, crashing('bad'));
-      await callWave(crashes, clock, crashing('worse'));
+      await sendWave(crashes, clock, crashing('bad'));
+      await sendWave(crashes, clock, crashing('worse'));
       await clock.advance(1_300);
     }
-    expect(sendsAfter(crashes, 'bad')).toBeLessThanOrEqual(MOST_SENDS_AFTER);
-    expect(sendsAfter(crashes, 'worse')).toBeLessThanOrEqual(MOST_SENDS_AFTER);
+    expect(sendsAfter(crashes, 'bad')).toBeLessThanOrEqual(MAX_SENDS_AFTER);
+    expect(sendsAfter(crashes, 'worse')).toBeLessThanOrEqual(MAX_SENDS_AFTER);
   });
 
-  it('is known to hosts that start after all of them have lost their power at the same moment', async () => {
+  it('is known after all hosts have restarted at the same time', async () => {
     const { clock, crashes } = await setUp(12, 20);
-    callForObjects(crashes, clock.now() + 30_000);
-    await callWave(crashes, clock, crashing('bad'));
+    requestObjects(crashes, clock.now() + 30_000);
+    await sendWave(crashes, clock, crashing('bad'));
     await clock.advance(3_000);
     for (let host = 0; host < crashes.fleet.hosts.length; host++) {
       void crashes.fleet.restartHost(host, 1_000);
     }
     await clock.advance(5_000);
     for (let wave = 0; wave < 5; wave++) {
-      await callWave(crashes, clock, crashing('bad'));
+      await sendWave(crashes, clock, crashing('bad'));
     }
     expect(sendsAfter(crashes, 'bad')).toBeLessThanOrEqual(1);
   });
 
-  it('is known to a host that was cut off from the others, and to one that started, once they are back', async () => {
+  it('is known to a host after a partition and to a restarted host', async () => {
     const { clock, crashes } = await setUp(12, 20);
-    const [cut, started] = [3, 7];
-    crashes.fleet.setCut(cut, true);
+    const [partitioned, restarted] = [3, 7];
+    crashes.fleet.setCut(partitioned, true);
     await clock.advance(2_000);
-    await callWave(crashes, clock, crashing('bad'));
-    void crashes.fleet.restartHost(started, 1_000);
+    await sendWave(crashes, clock, crashing('bad'));
+    void crashes.fleet.restartHost(restarted, 1_000);
     await clock.advance(5_000);
-    crashes.fleet.setCut(cut, false);
+    crashes.fleet.setCut(partitioned, false);
     await clock.advance(CONNECTIVITY_MILLISECONDS);
     const trial = crashes.ask(0, crashing('bad'));
     await clock.advance(1_000);
     expect(await trial).toBe('lost');
-    for (const host of [cut, started, cut, started]) {
-      expect(await asked(clock, crashes, host, crashing('bad'))).toBe('turned-away');
+    for (const host of [partitioned, restarted, partitioned, restarted]) {
+      expect(await resultOf(clock, crashes, host, crashing('bad'))).toBe('turned-away');
     }
   });
 
-  it('is let run once more by one of all hosts, however long it is asked for', async () => {
+  it('gets a single trial in the whole fleet, however long it arrives', async () => {
     const { clock, crashes } = await setUp(12, 20);
     for (let wave = 0; wave < 60; wave++) {
-      await callWave(crashes, clock, crashing('bad'));
+      await sendWave(crashes, clock, crashing('bad'));
       await clock.advance(20_000);
     }
     expect(sendsAfter(crashes, 'bad')).toBe(1);
   });
 });
 
-describe('an ordinary request that was at three targets when they ended', () => {
+describe('an ordinary request that three targets had when they crashed', () => {
   it(
-    'is let in again at its first call some seconds later, at any host',
+    'is cleared by its trial some seconds later, at all hosts',
     { timeout: TEST_MILLISECONDS },
     async () => {
       const { clock, crashes } = await setUp(12, 20);
-      const look = { name: 'object-1', crashes: false };
+      const request = { name: 'object-1', crashes: false };
       for (const [place, target] of ['a', 'b', 'c'].entries()) {
-        const lost = { fingerprint: look.name, requestId: '', route: '', path: '' };
+        const lost = { fingerprint: request.name, requestId: '', route: '', path: '' };
         crashes.fleet.hosts[place]?.member.suspects.recordCrash({ target, requests: [lost] });
       }
       await clock.advance(1_500);
-      expect(await asked(clock, crashes, 7, look)).toBe('turned-away');
+      expect(await resultOf(clock, crashes, 7, request)).toBe('turned-away');
       await clock.advance(2_000);
-      expect(await asked(clock, crashes, 11, look)).toBe('answered');
+      expect(await resultOf(clock, crashes, 11, request)).toBe('answered');
       await clock.advance(1_500);
       for (let host = 0; host < 12; host++) {
-        expect(await asked(clock, crashes, host, look)).toBe('answered');
+        expect(await resultOf(clock, crashes, host, request)).toBe('answered');
       }
     },
   );
 });
 
-async function asked(
+async function resultOf(
   clock: FakeClock,
   crashes: CrashFleet,
   host: number,
--- a/packages/entry/tests/suspects/request-fingerprint.test.ts
+++ b/packages/entry/tests/suspects/request-fingerprint.test.ts
@@ -6,7 +6,7 @@
 describe('requestFingerprint', () => {
   const original = requestFingerprint(makeExchange());
 
-  it('is the same for another try of the same request, under another id', () => {
+  it('is the same for a repetition with another request id', () => {
     expect(requestFingerprint(makeExchange({ requestId: 'another' }))).toBe(original);
     expect(requestFingerprint(makeExchange({ body: Buffer.alloc(0) }))).toBe(original);
   });
@@ -17,17 +17,17 @@
     ['client account', { account: makeAccount() }],
     ['body', { body: Buffer.from('x') }],
     ['host name', { route: makeRoute({ host: 'other.example' }) }],
-  ])('is another with another %s', (_part, changes) => {
+  ])('differs with another %s', (_part, changes) => {
     expect(requestFingerprint(makeExchange(changes))).not.toBe(original);
   });
 
-  it('does not take the end of one part for the beginning of the next', () => {
+  it('separates the parts unambiguously', () => {
     const one = makeExchange({ path: '/a', account: makeAccount({ name: 'b/c' }) });
     const other = makeExchange({ path: '/a/b', account: makeAccount({ name: 'c' }) });
     expect(requestFingerprint(one)).not.toBe(requestFingerprint(other));
   });
 
-  it('stays the same under a new version of its route', () => {
+  it('is the same for a new version of the route', () => {
     const route = makeRoute({ timeoutMilliseconds: 1, shares: [{ service: 'other', weight: 1 }] });
     expect(requestFingerprint(makeExchange({ route, version: 9 }))).toBe(original);
   });
--- a/packages/entry/tests/suspects/suspect-controller.test.ts
+++ b/packages/entry/tests/suspects/suspect-controller.test.ts
@@ -14,32 +14,32 @@
 function setUp() {
   const clock = new FakeClock();
   const { log, events } = captureEvents();
-  const told: UpdateSource[] = [];
-  const duty = new SuspectController({
+  const updates: UpdateSource[] = [];
+  const controller = new SuspectController({
     clock,
     random: new SeededRandom(1),
     events: log,
     store: new MemoryFleetStore(clock),
     view: new FleetView(),
     hosts: () => 1,
-    onUpdate: (source) => told.push(source),
+    onUpdate: (source) => updates.push(source),
   });
-  return { clock, duty, events, told };
+  return { clock, controller, events, updates };
 }
 
-function endUnder(fingerprint: string, target: string): TargetCrash {
+function crashUnder(fingerprint: string, target: string): TargetCrash {
   const request = { fingerprint, requestId: 'request-1', route: 'verdicts', path: '/verdicts/bad' };
   return { target, requests: [request] };
 }
 
-describe('SuspectDuty', () => {
-  it('turns a request away once three targets have ended under it', async () => {
-    const { clock, duty, events } = setUp();
+describe('SuspectController', () => {
+  it('refuses a request once it has crashed three targets', async () => {
+    const { clock, controller, events } = setUp();
     for (const target of ['a', 'b', 'c']) {
-      expect(await duty.mayRun(FINGERPRINT)).toBe(true);
-      duty.recordCrash(endUnder(FINGERPRINT, target));
+      expect(await controller.mayRun(FINGERPRINT)).toBe(true);
+      controller.recordCrash(crashUnder(FINGERPRINT, target));
     }
-    const mayRun = duty.mayRun(FINGERPRINT);
+    const mayRun = controller.mayRun(FINGERPRINT);
     await clock.advance(1_000);
     expect(await mayRun).toBe(false);
     expect(events).toEqual([
@@ -47,43 +47,43 @@
     ]);
   });
 
-  it('finds a request that was at a target when it ended, under another id, and no other', () => {
-    const { duty } = setUp();
-    expect(duty.findFingerprint(BAD)).toBeUndefined();
-    duty.recordCrash(endUnder(FINGERPRINT, 'a'));
-    expect(duty.findFingerprint({ ...BAD, requestId: 'another' })).toBe(FINGERPRINT);
-    expect(duty.findFingerprint(makeExchange({ path: '/verdicts/good' }))).toBeUndefined();
-    expect(duty.findFingerprint({ ...BAD, body: Buffer.from('x') })).toBeUndefined();
+  it('finds a repetition of a request that a target had when it crashed, and no other', () => {
+    const { controller } = setUp();
+    expect(controller.findFingerprint(BAD)).toBeUndefined();
+    controller.recordCrash(crashUnder(FINGERPRINT, 'a'));
+    expect(controller.findFingerprint({ ...BAD, requestId: 'another' })).toBe(FINGERPRINT);
+    expect(controller.findFingerprint(makeExchange({ path: '/verdicts/good' }))).toBeUndefined();
+    expect(controller.findFingerprint({ ...BAD, body: Buffer.from('x') })).toBeUndefined();
   });
 
-  it('says that a request is let in again', async () => {
-    const { duty, events } = setUp();
+  it('logs that a request is cleared', async () => {
+    const { controller, events } = setUp();
     for (const target of ['a', 'b', 'c']) {
-      duty.recordCrash(endUnder(FINGERPRINT, target));
+      controller.recordCrash(crashUnder(FINGERPRINT, target));
     }
-    duty.recordAnswer(FINGERPRINT);
-    duty.recordAnswer(FINGERPRINT);
-    duty.sweep();
-    expect(await duty.mayRun(FINGERPRINT)).toBe(true);
+    controller.recordAnswer(FINGERPRINT);
+    controller.recordAnswer(FINGERPRINT);
+    controller.sweep();
+    expect(await controller.mayRun(FINGERPRINT)).toBe(true);
     expect(events[1]).toMatchObject({ event: 'suspect', state: 'cleared' });
   });
 
-  it('has others told out of turn ten times a second at most', async () => {
-    const { clock, duty, told } = setUp();
+  it('requests at most ten immediate reports per second', async () => {
+    const { clock, controller, updates } = setUp();
     for (let index = 0; index < 100; index++) {
-      duty.recordCrash(endUnder(`request-${index}`, `target-${index}`));
+      controller.recordCrash(crashUnder(`request-${index}`, `target-${index}`));
       await clock.advance(10);
     }
-    expect(told.length).toBeLessThanOrEqual(10);
-    expect(told.length).toBeGreaterThan(5);
+    expect(updates.length).toBeLessThanOrEqual(10);
+    expect(updates.length).toBeGreaterThan(5);
   });
 
-  it('has news of others passed on where it is of two ends or more', () => {
-    const { duty, told } = setUp();
-    const end = (target: string) => ({ target, ageMilliseconds: 0, responses: 0 });
-    duty.merge([{ fingerprint: FINGERPRINT, crashes: [end('a')] }]);
-    expect(told).toEqual([]);
-    duty.merge([{ fingerprint: FINGERPRINT, crashes: [end('a'), end('b')] }]);
-    expect(told).toEqual(['heard']);
+  it('forwards reports of other hosts from two crashes on', () => {
+    const { controller, updates } = setUp();
+    const crash = (target: string) => ({ target, ageMilliseconds: 0, responses: 0 });
+    controller.merge([{ fingerprint: FINGERPRINT, crashes: [crash('a')] }]);
+    expect(updates).toEqual([]);
+    controller.merge([{ fingerprint: FINGERPRINT, crashes: [crash('a'), crash('b')] }]);
+    expect(updates).toEqual(['heard']);
   });
 });
--- a/packages/entry/tests/suspects/suspect-record-store.test.ts
+++ b/packages/entry/tests/suspects/suspect-record-store.test.ts
@@ -1,7 +1,4 @@
-/**
- * Load: a dozen hosts come to know of a suspect within a second, ask for it at the same time, and lose sight of the
- * store or of one another. What the whole fleet may do once is to be done by one of them.
- */
+/** Guards against several hosts writing the same record or running the only trial of a suspect. */
 import { SuspectTable } from '@ferrylock/routing';
 import { FakeClock, MemoryFleetStore } from '@ferrylock/test-utils';
 import { SeededRandom, stableHash } from '@ferrylock/utils';
@@ -16,7 +13,7 @@
 const TARGETS = ['a', 'b', 'c'];
 const SWEEP_MILLISECONDS = 200;
 
-/** Hosts that see the store's changes as soon as they are made, and sweep five times a second. */
+/** Hosts that receive the store's changes immediately and sweep five times per second. */
 function setUp(hosts = HOSTS) {
   const clock = new FakeClock();
   const store = new MemoryFleetStore(clock);
@@ -49,21 +46,21 @@
     for (;;) {
       const answer = await store.waitForChanges(view.revision, 1_000);
       if (answer.isErr()) {
-        const { epoch: told = 0, revision, changes } = (await store.list()).unwrap();
-        const epoch = epochFromReported(told);
-        view.replace({ epoch, revision }, ofLife(changes, epoch));
+        const { epoch: reported = 0, revision, changes } = (await store.list()).unwrap();
+        const epoch = epochFromReported(reported);
+        view.replace({ epoch, revision }, inEpoch(changes, epoch));
         continue;
       }
-      const { epoch: told = 0, changes, revision } = answer.value;
-      const epoch = epochFromReported(told);
+      const { epoch: reported = 0, changes, revision } = answer.value;
+      const epoch = epochFromReported(reported);
       const [afterEpoch, afterRevision] = [view.isEmpty ? 0 : epoch, view.revision];
-      view.apply({ afterEpoch, afterRevision, epoch, revision, changes: ofLife(changes, epoch) });
+      view.apply({ afterEpoch, afterRevision, epoch, revision, changes: inEpoch(changes, epoch) });
     }
   }
   return { clock, store, all };
 }
 
-function ofLife(changes: readonly FleetChange[], epoch: number): FleetChange[] {
+function inEpoch(changes: readonly FleetChange[], epoch: number): FleetChange[] {
   return changes.map((change) => ({ ...change, epoch }));
 }
 
@@ -80,8 +77,8 @@
   return change?.record?.kind === 'suspect' ? change.record.suspect.state : undefined;
 }
 
-describe('SuspectRecords', () => {
-  it('are written once for all hosts that know of a suspect, and teach the others', async () => {
+describe('SuspectRecordStore', () => {
+  it('writes one record for all hosts that know a suspect and informs the others', async () => {
     const { clock, store, all } = setUp();
     for (const host of all.slice(0, 6)) {
       suspect(host);
@@ -95,7 +92,7 @@
     expect(all.every(({ table }) => table.isSuspect('bad'))).toBe(true);
   });
 
-  it('give the one trial to one of all hosts that ask for it at the same time', async () => {
+  it('grants the only trial to one of several hosts that claim it concurrently', async () => {
     const { clock, all } = setUp();
     all.forEach((host) => {
       suspect(host);
@@ -111,7 +108,7 @@
     expect(all.some(({ records }) => records.mayTry('bad'))).toBe(false);
   });
 
-  it('ask a store that refuses once in two seconds, however often the request comes', async () => {
+  it('retries a rejected claim only every two seconds', async () => {
     const { clock, store, all } = setUp(1);
     const [host] = all;
     if (host === undefined) {
@@ -119,7 +116,7 @@
     }
     suspect(host);
     await clock.advance(4_000);
-    // Another host was first, and this one has not heard of it.
+    // Another host was first, and this one has not received the change.
     const calls = store.calls.write;
     host.view.apply = () => true;
     store.put('suspects/bad', {
@@ -133,7 +130,7 @@
     expect(store.calls.write - calls).toBeLessThanOrEqual(2 * 2);
   });
 
-  it('give no trial while targets have just ended under the request, nor before a record is held', async () => {
+  it('grants no trial soon after a crash or before the record exists', async () => {
     const { clock, all } = setUp(1);
     const [host] = all;
     if (host === undefined) {
@@ -145,7 +142,7 @@
     expect(await host.records.claimTrial('bad')).toBe(false);
   });
 
-  it('say that a request was answered, and have every host take its ends back', async () => {
+  it('clears the record after a response and the crashes at every host', async () => {
     const { clock, store, all } = setUp();
     all.forEach((host) => {
       suspect(host);
@@ -159,7 +156,7 @@
     expect(await stateOf(store, clock)).toBeUndefined();
   });
 
-  it('let a request in that an operator clears, whatever hosts have seen since the record', async () => {
+  it('accepts a clearance by an operator despite later crashes', async () => {
     const { clock, store, all } = setUp();
     all.forEach((host) => {
       suspect(host);
@@ -177,7 +174,7 @@
     expect(await stateOf(store, clock)).toBe('cleared');
   });
 
-  it('take a request on again that ends targets after it was cleared', async () => {
+  it('records a request again that crashes targets after it was cleared', async () => {
     const { clock, store, all } = setUp();
     all.forEach((host) => {
       suspect(host);
@@ -192,7 +189,7 @@
     expect(await stateOf(store, clock)).toBe('suspected');
   });
 
-  it('come back where the store lost them, and stay tried where they were', async () => {
+  it('rewrites a lost record and keeps its state', async () => {
     const { clock, store, all } = setUp();
     all.forEach((host) => {
       suspect(host);
@@ -209,7 +206,7 @@
     expect(await stateOf(store, clock)).toBe('tried');
   });
 
-  it('last ten minutes from the last time that the request was asked for', async () => {
+  it('keeps a record for ten minutes after the last arrival of its request', async () => {
     const { clock, store, all } = setUp(2);
     all.forEach((host) => {
       suspect(host);
@@ -229,7 +226,7 @@
     expect(all.some(({ table }) => table.isSuspect('bad'))).toBe(false);
   });
 
-  it('are 256 at most', async () => {
+  it('writes at most 256 records', async () => {
     const { clock, store, all } = setUp(1);
     for (let index = 0; index < 400; index++) {
       for (const target of TARGETS) {
@@ -242,17 +239,17 @@
     expect((await listing).unwrap().changes.length).toBeLessThanOrEqual(256);
   });
 
-  it('are not tried once more since the store came back from a copy in which they had not been', async () => {
+  it('grants no second trial after the store was restored from a snapshot', async () => {
     const { clock, store, all } = setUp();
     all.forEach((host) => {
       suspect(host);
     });
     await clock.advance(4_000);
-    const copy = store.takeCopy();
+    const snapshot = store.takeCopy();
     const claimed = all[0]?.records.claimTrial('bad');
     await clock.advance(1_000);
     expect(await claimed).toBe(true);
-    store.restore(copy);
+    store.restore(snapshot);
     await clock.advance(3_000);
     const claims = all.map(({ records }) => records.claimTrial('bad'));
     await clock.advance(100);
@@ -260,21 +257,21 @@
   });
 
   it.each([
-    ['lacks them', 0],
-    ['has an older state of them', 1],
+    ['lacks it', 0],
+    ['has an older state of it', 1],
   ])(
-    'are written again within 2 s by one host where the store came back from a copy that %s',
-    async (_case, copies) => {
+    'rewrites a record within 2 s by one host after a restore from a snapshot that %s',
+    async (_case, snapshots) => {
       const { clock, store, all } = setUp();
       const first = store.takeCopy();
       all.forEach((host) => {
         suspect(host);
       });
       await clock.advance(4_000);
-      const copy = copies === 0 ? first : store.takeCopy();
+      const snapshot = snapshots === 0 ? first : store.takeCopy();
       void all[0]?.records.claimTrial('bad');
       await clock.advance(1_000);
-      store.restore(copy);
+      store.restore(snapshot);
       const before = store.calls.write;
       await clock.advance(2_000);
       expect(await stateOf(store, clock)).toBe('tried');
@@ -282,15 +279,15 @@
     },
   );
 
-  it('take no revision of a former life for the one that they are to replace', async () => {
+  it('does not match a revision of a previous epoch', async () => {
     const { clock, store, all } = setUp(1);
-    const copy = store.takeCopy();
+    const snapshot = store.takeCopy();
     all.forEach((host) => {
       suspect(host);
     });
     await clock.advance(4_000);
-    store.restore(copy);
-    // Another record has the same revision now as the host's own had in the life before.
+    store.restore(snapshot);
+    // Another record now has the revision that the host's own had in the previous epoch.
     store.put('suspects/bad', {
       kind: 'suspect',
       suspect: { fingerprint: 'bad', targets: ['d'], state: 'cleared' },
--- a/packages/entry/tests/suspects/target-crash-detector.test.ts
+++ b/packages/entry/tests/suspects/target-crash-detector.test.ts
@@ -19,112 +19,112 @@
     throw new Error('the target is not known');
   }
   const checked: string[] = [];
-  const told: TargetCrash[] = [];
-  const ends = new TargetCrashDetector({
+  const crashes: TargetCrash[] = [];
+  const detector = new TargetCrashDetector({
     clock,
     events: log,
     checkConnection: (address) => {
       checked.push(address);
       return Promise.resolve(connection);
     },
-    onCrash: (end) => told.push(end),
+    onCrash: (end) => crashes.push(end),
   });
-  const lose = (path: string): void => {
-    ends.recordConnectionLoss(service, target, makeExchange({ path }));
+  const loseResponse = (path: string): void => {
+    detector.recordConnectionLoss(service, target, makeExchange({ path }));
   };
-  return { clock, view, events, service, target, ends, checked, told, lose };
+  return { clock, view, events, service, target, detector, checked, crashes, loseResponse };
 }
 
-function linesOf(events: readonly EntryEvent[]): EntryEvent[] {
+function lossEvents(events: readonly EntryEvent[]): EntryEvent[] {
   return events.filter(({ event }) => event === 'answers-lost');
 }
 
-describe('TargetEnds', () => {
-  it('tells a target’s end, with all requests that it had, where nobody listens any more', async () => {
-    const { clock, ends, checked, told, events, lose } = setUp();
-    lose('/one?secret=1');
-    lose('/two');
+describe('TargetCrashDetector', () => {
+  it('reports a crash with all lost requests if no process listens any more', async () => {
+    const { clock, detector, checked, crashes, events, loseResponse } = setUp();
+    loseResponse('/one?secret=1');
+    loseResponse('/two');
     await clock.advance(100);
     expect(checked).toEqual(['127.0.0.1:1']);
-    expect(ends.crashes).toBe(1);
-    expect(told).toMatchObject([
+    expect(detector.crashes).toBe(1);
+    expect(crashes).toMatchObject([
       { target: 'target-1', requests: [{ path: '/one' }, { path: '/two' }] },
     ]);
-    expect(linesOf(events)).toMatchObject([
+    expect(lossEvents(events)).toMatchObject([
       { event: 'answers-lost', connection: 'refused', target: 'target-1', service: 'verdict-api' },
     ]);
   });
 
   it.each(['taken', 'unknown'] as const)(
-    'tells no end where a new connection is %s',
+    'reports no crash if a new connection is %s',
     async (connection) => {
-      const { clock, ends, told, events, lose } = setUp(connection);
-      lose('/one');
+      const { clock, detector, crashes, events, loseResponse } = setUp(connection);
+      loseResponse('/one');
       await clock.advance(100);
-      expect([ends.crashes, told]).toEqual([0, []]);
-      expect(linesOf(events)).toMatchObject([{ event: 'answers-lost', connection }]);
+      expect([detector.crashes, crashes]).toEqual([0, []]);
+      expect(lossEvents(events)).toMatchObject([{ event: 'answers-lost', connection }]);
     },
   );
 
-  it('counts a request whose loss is noticed after the end to it, with no second look', async () => {
-    const { clock, ends, checked, told, lose } = setUp();
-    lose('/one');
+  it('adds a loss that is noticed after the crash without a second check', async () => {
+    const { clock, detector, checked, crashes, loseResponse } = setUp();
+    loseResponse('/one');
     await clock.advance(100);
-    lose('/late');
+    loseResponse('/late');
     await clock.advance(100);
-    expect([ends.crashes, checked.length]).toEqual([1, 1]);
-    expect(told[1]).toMatchObject({ target: 'target-1', requests: [{ path: '/late' }] });
+    expect([detector.crashes, checked.length]).toEqual([1, 1]);
+    expect(crashes[1]).toMatchObject({ target: 'target-1', requests: [{ path: '/late' }] });
   });
 
-  it('takes an end back for an answer to what was sent before it, and for no later one', async () => {
-    const { clock, target, ends, lose } = setUp();
+  it('retracts a crash only for a response to a request sent before it', async () => {
+    const { clock, target, detector, loseResponse } = setUp();
     const sentBefore = clock.now();
-    lose('/one');
+    loseResponse('/one');
     await clock.advance(100);
-    expect(ends.retractCrash(target, clock.now())).toBe(false);
-    expect(ends.retractCrash(target, sentBefore)).toBe(true);
-    expect(ends.retractCrash(target, sentBefore)).toBe(false);
+    expect(detector.retractCrash(target, clock.now())).toBe(false);
+    expect(detector.retractCrash(target, sentBefore)).toBe(true);
+    expect(detector.retractCrash(target, sentBefore)).toBe(false);
   });
 
-  it('counts the ends of two starts under one id as two', async () => {
-    const { clock, view, service, ends, told, lose } = setUp();
-    lose('/one');
+  it('counts crashes of two incarnations of one target separately', async () => {
+    const { clock, view, service, detector, crashes, loseResponse } = setUp();
+    loseResponse('/one');
     await clock.advance(100);
     view.apply({ afterRevision: 2, revision: 3, changes: [targetChange(3, { bornAt: 2_000 })] });
     const next = service.targets.get('target-1');
     if (next !== undefined) {
-      ends.recordConnectionLoss(service, next, makeExchange({ path: '/one' }));
+      detector.recordConnectionLoss(service, next, makeExchange({ path: '/one' }));
     }
     await clock.advance(100);
-    expect(ends.crashes).toBe(2);
-    expect(new Set(told.map(({ target }) => target)).size).toBe(2);
+    expect(detector.crashes).toBe(2);
+    expect(new Set(crashes.map(({ target }) => target)).size).toBe(2);
   });
 
-  it('expects the end of a target that leaves', async () => {
-    const { clock, view, checked, told, lose } = setUp();
+  it('ignores the end of a draining target', async () => {
+    const { clock, view, checked, crashes, loseResponse } = setUp();
     view.apply({
       afterRevision: 2,
       revision: 3,
       changes: [targetChange(3, { state: 'draining' })],
     });
-    lose('/one');
+    loseResponse('/one');
     await clock.advance(100);
-    expect([checked, told]).toEqual([[], []]);
+    expect([checked, crashes]).toEqual([[], []]);
   });
 
-  it('expects the end of a target that began to leave while it was looked at', async () => {
-    const { clock, target, told, lose } = setUp();
-    lose('/one');
+  it('ignores the end of a target that begins to drain during the check', async () => {
+    const { clock, target, crashes, loseResponse } = setUp();
+    loseResponse('/one');
     target.signals.recordLeaving();
     await clock.advance(100);
-    expect(told).toEqual([]);
+    expect(crashes).toEqual([]);
   });
 
-  it('expects the end of a target whose record had gone', async () => {
-    const { clock, service, checked, told, lose } = setUp();
+  it('ignores the end of a target without a record', async () => {
+    const { clock, service, checked, crashes, loseResponse } = setUp();
     service.remove('target-1');
-    lose('/one');
+    loseResponse('/one');
     await clock.advance(100);
-    expect([checked, told]).toEqual([[], []]);
+    expect([checked, crashes]).toEqual([[], []]);
   });
 });
