--- a/packages/entry/src/request/describe-verdict.ts
+++ b/packages/entry/src/request/describe-verdict.ts
@@ -11,7 +11,11 @@
 export function describeVerdict(verdict: SendVerdict): VerdictDescription {
   switch (verdict.kind) {
     case 'answered':
-      return { ran: 'unknown', reason: 'server-error', detail: `status ${verdict.answer.status}` };
+      return {
+        ran: 'unknown',
+        reason: 'server-error',
+        detail: `status ${verdict.response.status}`,
+      };
     case 'not-run':
       return { ran: 'no', reason: verdict.reason, detail: verdict.detail };
     case 'unknown':
--- a/packages/entry/src/request/request-forwarder.ts
+++ b/packages/entry/src/request/request-forwarder.ts
@@ -225,7 +225,7 @@
       if (verdict.kind === 'answered' && next === 'deliver') {
         this.#options.responses.deliver(
           exchange,
-          verdict.answer,
+          verdict.response,
           this.#originOf(forwarding, target),
         );
         return;
--- a/packages/entry/src/request/request-progress.ts
+++ b/packages/entry/src/request/request-progress.ts
@@ -39,7 +39,7 @@
   recordVerdict(verdict: SendVerdict): NextStep {
     switch (verdict.kind) {
       case 'answered':
-        return this.#recordResponse(verdict.answer);
+        return this.#recordResponse(verdict.response);
       case 'not-run':
         return this.#recordNotRun(verdict);
       case 'unknown':
@@ -82,14 +82,14 @@
     return this.#refusal ?? { reason: 'overload', detail: 'no target has room', ran: 'no' };
   }
 
-  #recordResponse(answer: TargetResponse): NextStep {
+  #recordResponse(response: TargetResponse): NextStep {
     this.attempts++;
     this.runs++;
-    if (!isServerError(answer.status) || this.#kind !== 'repeatable') {
+    if (!isServerError(response.status) || this.#kind !== 'repeatable') {
       return 'deliver';
     }
     this.#mayHaveRun = true;
-    this.#serverError = answer;
+    this.#serverError = response;
     return this.#retryStep();
   }
 
--- a/packages/entry/src/request/response-writer.ts
+++ b/packages/entry/src/request/response-writer.ts
@@ -43,36 +43,36 @@
   }
 
   /** Forwards a target's complete response. */
-  deliver(exchange: RoutedExchange, answer: TargetResponse, origin: ResponseOrigin): void {
+  deliver(exchange: RoutedExchange, received: TargetResponse, origin: ResponseOrigin): void {
     const { clock, metrics, events } = this.#options;
     const { response, request, route, account, requestId, version } = exchange;
     const milliseconds = clock.now() - exchange.arrivedAt;
     metrics.recordAnswer(route.kind, milliseconds);
     if (account !== undefined) {
-      metrics.accounts.record(account.name, answer.status < 500 ? 'served' : 'failed');
+      metrics.accounts.record(account.name, received.status < 500 ? 'served' : 'failed');
     }
     if (response.destroyed) {
       return;
     }
-    const headers = forwardableHeaders(answer.headers);
-    if (!answer.isDelimited) {
+    const headers = forwardableHeaders(received.headers);
+    if (!received.isDelimited) {
       // The response may be truncated: a content-length would claim that it is complete.
       response.useChunkedEncodingByDefault = false;
       headers.connection = 'close';
-    } else if (request.method !== 'HEAD' && answer.status !== 304) {
-      headers['content-length'] = String(answer.body.length);
+    } else if (request.method !== 'HEAD' && received.status !== 304) {
+      headers['content-length'] = String(received.body.length);
     }
-    response.writeHead(answer.status, headers);
-    response.end(answer.body);
+    response.writeHead(received.status, headers);
+    response.end(received.body);
     const isLate = milliseconds > route.targetLatencyMilliseconds;
-    if (origin.attempts > 1 || isLate || answer.status >= 500) {
+    if (origin.attempts > 1 || isLate || received.status >= 500) {
       events.write({
         event: 'answered',
         requestId,
         route: route.name,
         ...(account === undefined ? {} : { account: account.name }),
         version,
-        status: answer.status,
+        status: received.status,
         milliseconds: Math.round(milliseconds),
         ...origin,
       });
--- a/packages/entry/src/request/target-client.ts
+++ b/packages/entry/src/request/target-client.ts
@@ -46,7 +46,7 @@
 
 /** Outcome of one send. */
 export type SendOutcome =
-  | { readonly kind: 'answered'; readonly answer: TargetResponse }
+  | { readonly kind: 'answered'; readonly response: TargetResponse }
   /** No byte of the request was sent. */
   | { readonly kind: 'not-sent'; readonly error: Error }
   /** Bytes were sent, but no complete response was received. */
@@ -160,8 +160,8 @@
               return;
             }
             const body = Buffer.concat(chunks);
-            const answer = { status, headers, body, isDelimited: isDelimited(headers) };
-            resolve({ kind: 'answered', answer });
+            const response = { status, headers, body, isDelimited: isDelimited(headers) };
+            resolve({ kind: 'answered', response });
           },
           onResponseError: (_controller, error) => {
             resolve({ kind: startedAt === undefined ? 'not-sent' : 'broken', error });
--- a/packages/entry/src/request/target-send.ts
+++ b/packages/entry/src/request/target-send.ts
@@ -14,7 +14,11 @@
 /** Verdict on one send to one target. */
 export type SendVerdict =
   /** Complete response of the target. */
-  | { readonly kind: 'answered'; readonly answer: TargetResponse; readonly facts: ResponseMetadata }
+  | {
+      readonly kind: 'answered';
+      readonly response: TargetResponse;
+      readonly metadata: ResponseMetadata;
+    }
   /** The target has not run the request: nothing was sent, or the target refused it. */
   | {
       readonly kind: 'not-run';
@@ -154,16 +158,16 @@
 
   #checkHead(status: number, headers: TargetResponse['headers']): Error | undefined {
     const { codec, exchange, signalRecorder, service, target } = this.#options;
-    const facts = codec.decodeResponse(status, headers);
-    this.#metadata = facts;
-    if (facts.isOtherTarget) {
+    const metadata = codec.decodeResponse(status, headers);
+    this.#metadata = metadata;
+    if (metadata.isOtherTarget) {
       return undefined;
     }
-    if (!facts.isNotRun && facts.requestId !== exchange.requestId) {
-      return new StrayResponse(`the answer is to request ${facts.requestId ?? 'without id'}`);
+    if (!metadata.isNotRun && metadata.requestId !== exchange.requestId) {
+      return new StrayResponse(`the answer is to request ${metadata.requestId ?? 'without id'}`);
     }
-    signalRecorder.recordResponse(service, target, facts, this.sentAt);
-    return !facts.isNotRun && isSuccess(status) && !facts.isSigned
+    signalRecorder.recordResponse(service, target, metadata, this.sentAt);
+    return !metadata.isNotRun && isSuccess(status) && !metadata.isSigned
       ? new UnsignedResponse('a success without the target’s mark')
       : undefined;
   }
@@ -177,30 +181,30 @@
     if (outcome.kind !== 'answered') {
       return this.#judgeFailure(outcome.kind === 'not-sent', outcome.error);
     }
-    const { answer } = outcome;
-    const facts = this.#metadataOf(answer);
-    if (facts.load !== undefined) {
-      target.recordLoad(facts.load, now);
+    const { response } = outcome;
+    const metadata = this.#metadataOf(response);
+    if (metadata.load !== undefined) {
+      target.recordLoad(metadata.load, now);
     }
-    if (facts.coldMilliseconds !== undefined) {
-      target.recordCold(facts.coldMilliseconds, now);
+    if (metadata.coldMilliseconds !== undefined) {
+      target.recordCold(metadata.coldMilliseconds, now);
     }
-    if (facts.isOtherTarget) {
+    if (metadata.isOtherTarget) {
       target.recordReplaced();
       return { kind: 'not-run', reason: 'target-refused', detail: 'another target answers there' };
     }
-    if (facts.isNotRun) {
+    if (metadata.isNotRun) {
       target.recordShed(now);
-      return { kind: 'not-run', reason: 'target-refused', detail: `status ${answer.status}` };
+      return { kind: 'not-run', reason: 'target-refused', detail: `status ${response.status}` };
     }
-    this.#recordRun(answer);
+    this.#recordRun(response);
     service.recordResponse(target, {
       route: exchange.route,
       key: affinityKeyOf(exchange),
       milliseconds: now - this.sentAt,
       loadPerSlot: this.#loadPerSlot,
     });
-    return { kind: 'answered', answer, facts };
+    return { kind: 'answered', response, metadata };
   }
 
   #metadataOf({ status, headers }: TargetResponse): ResponseMetadata {
--- a/packages/entry/src/servers/control-server.ts
+++ b/packages/entry/src/servers/control-server.ts
@@ -36,8 +36,8 @@
       done(null, body);
     });
     this.#app.post(PEER_PATH, async (request, reply) => {
-      const answer = await this.#peerServer.receiveJSON(request.body as string);
-      return reply.header('content-type', 'application/json').send(JSON.stringify(answer));
+      const response = await this.#peerServer.receiveJSON(request.body as string);
+      return reply.header('content-type', 'application/json').send(JSON.stringify(response));
     });
     this.#app.get('/metrics', (_request, reply) =>
       reply.header('content-type', 'text/plain; version=0.0.4').send(metricsText()),
--- a/packages/entry/src/suspects/request-fingerprint.ts
+++ b/packages/entry/src/suspects/request-fingerprint.ts
@@ -2,7 +2,7 @@
 import { FINGERPRINT_PREFIX_LENGTH } from '@ferrylock/routing';
 import { stableHash } from '@ferrylock/utils';
 
-/** Six bits each: enough to make crafted collisions infeasible. */
+/** Six bits each, so that no request can be crafted to match the fingerprint of another. */
 const DIGEST_CHARACTERS = 20;
 const PREFIX_RADIX = 36;
 
--- a/packages/entry/tests/request/body-reader.test.ts
+++ b/packages/entry/tests/request/body-reader.test.ts
@@ -48,7 +48,7 @@
   expect(body.unwrap()).toBeUndefined();
 });
 
-test('stops waiting for a slowRequest body at the deadline', async () => {
+test('stops waiting for a slow body at the deadline', async () => {
   const bodies = new BodyReader(clock, BUFFER_BYTES);
   const request = await receive('content-length: 4', 'ab');
   const reading = bodies.read(request, { maxBytes: 4, deadlineAt: clock.now() + 800 });
--- a/packages/entry/tests/request/request-progress.test.ts
+++ b/packages/entry/tests/request/request-progress.test.ts
@@ -18,8 +18,8 @@
 function answered(status: number): SendVerdict {
   return {
     kind: 'answered',
-    answer: { status, headers: {}, body: Buffer.alloc(0), isDelimited: true },
-    facts: METADATA,
+    response: { status, headers: {}, body: Buffer.alloc(0), isDelimited: true },
+    metadata: METADATA,
   };
 }
 
--- a/packages/entry/tests/request/target-client.test.ts
+++ b/packages/entry/tests/request/target-client.test.ts
@@ -46,7 +46,7 @@
 
   it('accepts a response without length if its connection ends gracefully', async () => {
     const outcome = await send((socket) => socket.end(`${HEAD}\r\nwhole`));
-    expect(outcome).toMatchObject({ kind: 'answered', respond: { body: Buffer.from('whole') } });
+    expect(outcome).toMatchObject({ kind: 'answered', response: { body: Buffer.from('whole') } });
   });
 
   it('sends nothing if the request is no longer allowed once connected', async () => {
--- a/packages/entry/tests/request/target-send.test.ts
+++ b/packages/entry/tests/request/target-send.test.ts
@@ -75,7 +75,7 @@
     this.request.checkHead(503, headers);
     this.#settle({
       kind: 'answered',
-      answer: { status: 503, headers, body: Buffer.alloc(0), isDelimited: true },
+      response: { status: 503, headers, body: Buffer.alloc(0), isDelimited: true },
     });
   }
 }
