--- a/packages/entry/src/limits/target-limit-controller.ts
+++ b/packages/entry/src/limits/target-limit-controller.ts
@@ -26,7 +26,7 @@
   readonly hostNames: () => readonly string[];
   readonly isAlive: (host: EntryHostRecord) => boolean;
   readonly targetOfStart: (incarnation: string) => TargetState | undefined;
-  /** Called when a limit is advertised, changed or withdrawn and peers should be told at once. */
+  /** Called when a limit is advertised, changed or withdrawn, to notify peers immediately. */
   readonly onUpdate: () => void;
 }
 
