--- a/packages/routing/src/cold-start-limiter.ts
+++ b/packages/routing/src/cold-start-limiter.ts
@@ -1,24 +1,29 @@
 import type { Clock } from '@ferrylock/utils';
 import { rendezvousRank } from '@ferrylock/utils';
 
-/** Most entry hosts that send to one cold target; each of them may begin with one request. */
-const MOST_SENDERS = 4;
-/** Requests a second that each sender is to have at least, so that its first one is a small part. */
-const LEAST_RATE_OF_SENDER = 2;
-/** Part of what a cold target bears that is used. */
-const USED_SHARE = 0.7;
+/** Limit on entry hosts that send to one cold target; each may start with one request. */
+const MAX_SENDERS = 4;
+/**
+ * Minimum requests per second of each sender, so that its first request is a small part of its
+ * rate.
+ */
+const MIN_SENDER_RATE = 2;
+/** Fraction of the capacity of a cold target that is used. */
+const UTILIZATION = 0.7;
 
-/** What decides whether this entry host may send a request to a cold target now. */
+/** Request of this entry host to send to a cold target now. */
 export interface ColdStartRequest {
   readonly target: string;
-  /** Requests a second that the target bears. */
+  /** Requests per second that the target sustains while cold. */
   readonly requestsPerSecond: number;
   readonly ownName: string;
-  /** Names of all entry hosts, this one included; the same array while nothing changes. */
+  /**
+   * Names of all entry hosts, including this one. The array is replaced when membership changes.
+   */
   readonly hosts: readonly string[];
 }
 
-/** This host's part in what goes to one cold target. */
+/** State of this host as a sender to one cold target. */
 interface Sender {
   readonly hosts: readonly string[];
   readonly isSender: boolean;
@@ -26,9 +31,8 @@
 }
 
 /**
- * Keeps a cold target's arrivals under what it bears, over all entry hosts together and without a
- * message: a few hosts, the same ones by everybody's reckoning, send to it, each at an equal part
- * of the rate and never two requests closer than that part allows.
+ * Limits requests to cold targets over all entry hosts without coordination. Rendezvous hashing
+ * selects a few hosts as senders; each sends an equal share of the rate at evenly spaced times.
  */
 export class ColdStartLimiter {
   readonly #senders = new Map<string, Sender>();
@@ -39,16 +43,16 @@
     const { requestsPerSecond, hosts } = demand;
     const count = senderCount(requestsPerSecond, hosts.length);
     const sender = this.#senderFor(demand, count);
-    const gap = (1_000 * count) / (requestsPerSecond * USED_SHARE);
+    const minInterval = (1_000 * count) / (requestsPerSecond * UTILIZATION);
     const now = this.clock.now();
-    if (!sender.isSender || now - sender.lastSentAt < gap) {
+    if (!sender.isSender || now - sender.lastSentAt < minInterval) {
       return false;
     }
     sender.lastSentAt = now;
     return true;
   }
 
-  /** The target is warm or gone. */
+  /** Drops the state of a target that is warm or was removed. */
   forget(target: string): void {
     this.#senders.delete(target);
   }
@@ -67,6 +71,6 @@
 }
 
 function senderCount(requestsPerSecond: number, hosts: number): number {
-  const fitting = Math.floor(requestsPerSecond / LEAST_RATE_OF_SENDER);
-  return Math.max(1, Math.min(MOST_SENDERS, hosts, fitting));
+  const byRate = Math.floor(requestsPerSecond / MIN_SENDER_RATE);
+  return Math.max(1, Math.min(MAX_SENDERS, hosts, byRate));
 }
--- a/packages/routing/src/max-load-per-slot.ts
+++ b/packages/routing/src/max-load-per-slot.ts
@@ -1,39 +1,42 @@
 import type { Route } from './route-configuration.js';
 
-/** Part of the time for an answer of full use that work and waiting may take; the rest is the way. */
-const USABLE_SHARE = 0.9;
 /**
- * Allowed even where work takes long, as on objects that are not known yet: an answer that comes late
- * is worth more than a refusal, and makes the object known (measured, note 0009).
+ * Fraction of the target latency available for queueing and processing; the rest is for the
+ * network.
  */
-const LEAST = 1.8;
-/** More waiting than this would not end inside any caller's patience. */
-const MOST = 2.5;
-/** What each step of urgency adds, so that the less urgent is refused first. */
-const PER_URGENCY = 0.15;
+const USABLE_LATENCY_SHARE = 0.9;
+/**
+ * Lower bound, also for slow requests such as cache misses: a late response is worth more than a
+ * refusal and warms the cache.
+ */
+const MIN_LOAD = 1.8;
+/** Upper bound: longer queues would exceed the timeouts of callers. */
+const MAX_LOAD = 2.5;
+/** Extra load for each priority level, so that lower priorities are refused first. */
+const LOAD_PER_PRIORITY = 0.15;
 
 export interface MaxLoadInput {
   readonly route: Pick<Route, 'targetLatencyMilliseconds' | 'priority'>;
-  /** Average time of work on a request of the service; undefined before the first answer. */
+  /** Average processing time of the service; undefined before the first response. */
   readonly processingMilliseconds: number | undefined;
-  /** Largest priority number of all routes. */
+  /** Largest priority number of all routes; larger numbers are less urgent. */
   readonly lowestPriority: number;
 }
 
 /**
- * Requests, running and waiting, that a target may have for each slot when one more is sent: so
- * many that this one still ends within the time that makes it of full use. What could not is
- * better refused at once, while the caller can come back.
+ * Maximum requests per slot, running and queued, for a target to accept another one: as many as let
+ * it finish within the target latency. Requests that could not finish in time are better refused at
+ * once, so that the caller can retry.
  */
 export function maxLoadPerSlot({
   route,
   processingMilliseconds: runMilliseconds,
   lowestPriority: leastUrgent,
 }: MaxLoadInput): number {
-  const urgency = PER_URGENCY * Math.max(0, leastUrgent - route.priority);
+  const extra = LOAD_PER_PRIORITY * Math.max(0, leastUrgent - route.priority);
   if (runMilliseconds === undefined) {
-    return LEAST + urgency;
+    return MIN_LOAD + extra;
   }
-  const fitting = (USABLE_SHARE * route.targetLatencyMilliseconds) / runMilliseconds;
-  return Math.min(MOST, Math.max(LEAST, fitting)) + urgency;
+  const fitting = (USABLE_LATENCY_SHARE * route.targetLatencyMilliseconds) / runMilliseconds;
+  return Math.min(MAX_LOAD, Math.max(MIN_LOAD, fitting)) + extra;
 }
--- a/packages/routing/src/mechanisms.ts
+++ b/packages/routing/src/mechanisms.ts
@@ -2,51 +2,54 @@
 import type { Result } from 'ts-results-es';
 
 /**
- * Decisions that can be left out one by one, so that what each of them is worth can be measured on
- * a deployment (`--without=NAME,...`).
+ * Mechanisms that can be disabled individually to measure their effect on a deployment
+ * (`--without=NAME,...`).
  */
 export const MECHANISMS = [
-  /** Part of a region's keys goes to its own targets, as much as these can carry. */
+  /** Serves a share of the keys of a region on its own targets, up to their capacity. */
   'keys-at-home',
-  /** That part follows what callers of each region ask for, as entry hosts report it. */
+  /** Adapts that share to the demand of each region as reported by entry hosts. */
   'measured-demand',
-  /** A key's requests may go to a second target of the region. */
+  /** Allows a second target of the region for each key. */
   'second-copy',
-  /** A request goes to another region, where the object is known too, rather than wait long. */
+  /** Sends a request to another region where the object is cached, rather than let it wait. */
   'other-regions',
-  /** What an answer tells of the target's load counts. */
+  /** Uses the load that targets report in responses. */
   'told-load',
-  /** What other entry hosts have at a target counts. */
+  /** Counts the requests that other entry hosts have in flight at a target. */
   'peer-load',
-  /** A target that fails is left alone for a while. */
+  /** Ejects failing targets for a while. */
   'ejection',
-  /** A target that asked this host for rest is sent nothing until the end of it. */
+  /** Sends nothing to a target until the end of a rest that it asked of this host. */
   'rest',
-  /** What all hosts together send a target stays within the limit that it names. */
+  /** Keeps the requests of all hosts within the limit that a target advertises. */
   'limit',
-  /** A limit that another host heard counts here too. */
+  /** Applies limits that other hosts received. */
   'told-limits',
-  /** A store that came back from a copy begins another life, whose revisions come after those of the life before. */
+  /**
+   * Starts a new epoch, whose revisions come after those of the old one, when the store was
+   * restored from a backup.
+   */
   'store-lives',
-  /** What is known beyond what such a store holds is kept until it is written again. */
+  /** Keeps records that such a store lacks until they are written again. */
   'kept-records',
-  /** Few hosts read everything anew, and tell the others. */
+  /** Lets a few hosts reload all records and report them to the others. */
   'reading-in-turns',
 ] as const;
 
 export type Mechanism = (typeof MECHANISMS)[number];
 
-/** Mechanisms that are left out. */
+/** Set of disabled mechanisms. */
 export type DisabledMechanisms = ReadonlySet<Mechanism>;
 
 export const NO_DISABLED_MECHANISMS: DisabledMechanisms = new Set();
 
-/** Reads names divided by commas; an unknown one is an error that names all that there are. */
+/** Parses comma-separated names; the error for an unknown name lists all mechanisms. */
 export function parseDisabledMechanisms(text: string): Result<DisabledMechanisms, string> {
   const names = text.split(',').filter((name) => name !== '');
   const unknown = names.find((name) => !isMechanism(name));
   if (unknown !== undefined) {
-    return Err(`without: expected names among ${MECHANISMS.join(', ')}, got "${unknown}"`);
+    return Err(`without: unknown mechanism "${unknown}", expected one of ${MECHANISMS.join(', ')}`);
   }
   return Ok(new Set(names.filter(isMechanism)));
 }
--- a/packages/routing/src/pick-weighted-service.ts
+++ b/packages/routing/src/pick-weighted-service.ts
@@ -4,19 +4,19 @@
 const HASH_RANGE = 0x1_0000_0000;
 
 /**
- * The service that a request of a split route goes to. The same text goes to the same service at
- * every entry host, and a change of weights moves only as many texts as it has to.
+ * Picks the service for a request of a split route by weighted hashing. All entry hosts map a text
+ * to the same service, and a change of weights moves as few texts as possible.
  *
- * @param text - what the choice is bound to, such as the request's id
+ * @param text - hash input that determines the choice, such as the request id
  */
 export function pickWeightedService(route: Route, text: string): string {
   const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
-  let left = (stableHash(`${route.name} ${text}`) / HASH_RANGE) * total;
+  let remaining = (stableHash(`${route.name} ${text}`) / HASH_RANGE) * total;
   for (const { service, weight } of route.shares) {
-    if (left < weight) {
+    if (remaining < weight) {
       return service;
     }
-    left -= weight;
+    remaining -= weight;
   }
   return route.shares[0]?.service ?? '';
 }
--- a/packages/routing/src/processing-times.ts
+++ b/packages/routing/src/processing-times.ts
@@ -1,37 +1,37 @@
 import { MovingAverage } from '@ferrylock/utils';
 
-/** Weight of one answer in an average: some two seconds of a host's requests. */
-const WEIGHT = 0.02;
-/** Weight of one answer on an unknown object, of which there are few. */
-const UNKNOWN_WEIGHT = 0.1;
-/** How many times as long as on known objects work takes that counts as on an unknown one. */
-const UNKNOWN_FACTOR = 1.6;
+/** Weight of one response in the moving average of cache hits. */
+const HIT_WEIGHT = 0.02;
+/** Weight of one response in the moving average of cache misses, which are rarer. */
+const MISS_WEIGHT = 0.1;
+/** Ratio to the average hit from which a response counts as a cache miss. */
+const MISS_FACTOR = 1.6;
 
 /**
- * How long targets of a service work on requests of one route, on objects that they know and on
- * others. Targets do not say which it was: the time does, and whether the same target had the same
- * object before.
+ * Average processing times of the targets of a service for one route, for cache hits and misses.
+ * Targets do not report which a request was; it is inferred from the time and from whether the same
+ * target processed the object before.
  */
 export class ProcessingTimes {
-  readonly #known = new MovingAverage(WEIGHT);
-  readonly #unknown = new MovingAverage(UNKNOWN_WEIGHT);
+  readonly #hits = new MovingAverage(HIT_WEIGHT);
+  readonly #misses = new MovingAverage(MISS_WEIGHT);
 
-  /** On objects that the target knows; undefined before the first answer. */
+  /** Processing time of cache hits; undefined before the first response. */
   get hitMilliseconds(): number | undefined {
-    return this.#known.value ?? this.#unknown.value;
+    return this.#hits.value ?? this.#misses.value;
   }
 
-  /** How much longer on objects that the target does not know; undefined until both were seen. */
+  /** Additional processing time of cache misses; undefined until both kinds were seen. */
   get missPenaltyMilliseconds(): number | undefined {
-    const known = this.#known.value;
-    const unknown = this.#unknown.value;
-    return known === undefined || unknown === undefined ? undefined : Math.max(0, unknown - known);
+    const hit = this.#hits.value;
+    const miss = this.#misses.value;
+    return hit === undefined || miss === undefined ? undefined : Math.max(0, miss - hit);
   }
 
-  /** @param wasFamiliar - whether this host knew that the target had worked on the object */
-  record(milliseconds: number, wasFamiliar: boolean): void {
-    const known = this.#known.value;
-    const isQuick = known !== undefined && milliseconds < UNKNOWN_FACTOR * known;
-    (isQuick || wasFamiliar ? this.#known : this.#unknown).add(milliseconds);
+  /** @param wasCached - whether the target was expected to have the object cached */
+  record(milliseconds: number, wasCached: boolean): void {
+    const hit = this.#hits.value;
+    const isFast = hit !== undefined && milliseconds < MISS_FACTOR * hit;
+    (isFast || wasCached ? this.#hits : this.#misses).add(milliseconds);
   }
 }
--- a/packages/routing/src/region-placement.ts
+++ b/packages/routing/src/region-placement.ts
@@ -3,188 +3,190 @@
 
 const HASH_RANGE = 0x1_0000_0000;
 /**
- * Part of its slots that a region's targets take before keys go elsewhere. Above a half, a key's
- * target has all slots taken in more than one moment of eight (five slots, arrivals by chance).
+ * Utilization of the slots of a region up to which it keeps all its keys. Above one half, random
+ * arrivals often fill all slots of the target of a key.
  */
-const COMFORTABLE_LOAD = 0.5;
+const TARGET_UTILIZATION = 0.5;
 /**
- * Part of its slots that a region's targets take of requests whose bytes are dear on the way to other
- * regions. Above it they find no room: of a region that was asked for nine tenths of its slots by
- * uploads alone, an eighth was refused while targets elsewhere stood idle.
+ * Utilization up to which a region keeps requests that are expensive to transfer between regions.
+ * Above it, requests are refused although targets elsewhere are idle.
  */
-const NEAR_LOAD = 0.85;
-/** Weight of the present in the spare room of a region, at each update. */
+const LOCAL_UTILIZATION = 0.85;
+/** Weight of the current spare capacity in its moving average. */
 const SPARE_WEIGHT = 0.2;
-/** Part of the least weight that a region without spare room keeps, so that every order is whole. */
-const LEAST_SPARE = 0.001;
+/** Minimum weight, so that regions without spare capacity still have a place in every order. */
+const MIN_SPARE = 0.001;
 
-/** What one region's targets of a service can carry, and what its callers ask for. */
+/** Capacity of the targets of one region for a service, and the demand of its callers. */
 export interface RegionCapacity {
   readonly region: string;
-  /** Slots of its usable targets. */
+  /** Slots of its available targets. */
   readonly slots: number;
-  /** Slots that its callers' requests keep busy; undefined while that is not known. */
+  /** Slots that the requests of its callers occupy; undefined while unknown. */
   readonly work: number | undefined;
 }
 
 export interface RegionPlacementOptions {
   readonly ownRegion: string;
-  /** How far the part of keys that stay at home may move in a second. */
+  /** Maximum change per second of the share of keys that a region serves itself. */
   readonly maxStepPerSecond: number;
   readonly disabledMechanisms: DisabledMechanisms;
 }
 
-/** What was decided for one region, for those who look on. */
+/** Placement of one region, for monitoring. */
 export interface PlacedRegion extends RegionCapacity {
   readonly homeShare: number;
 }
 
-/** One region's part in the placement. */
-interface Part {
-  /** Part of its keys that its own targets serve. */
+/** Placement state of one region. */
+interface RegionState {
+  /** Share of its keys that its own targets serve. */
   homeShare: number;
-  /** Room for keys of other regions, in slots. */
+  /** Spare capacity for keys of other regions, in slots. */
   spare: number;
 }
 
 /**
- * Decides for each key in which regions its requests are served. A region keeps as large a part of
- * the keys as its targets can carry, the same keys by every host's reckoning; the others go to
- * regions with room to spare, in proportion to it, always the same one for a key. The parts follow
- * capacity and demand slowly, since a key that moves is unknown where it comes.
+ * Decides which regions serve each key. A region keeps as large a share of its keys as its targets
+ * can carry, the same keys on every host. The remaining keys go to regions with spare capacity, in
+ * proportion to it and always to the same one. Shares follow capacity and demand slowly, since a
+ * moved key causes cache misses.
  */
 export class RegionPlacement {
   readonly #options: RegionPlacementOptions;
-  readonly #regions = new Map<string, Part>();
+  readonly #states = new Map<string, RegionState>();
   #updatedAt = -Infinity;
   #isMeasured = false;
-  #rooms: readonly RegionCapacity[] = [];
-  /** Regions of which no target counts now. */
-  #absent: readonly string[] = [];
+  #capacities: readonly RegionCapacity[] = [];
+  /** Regions without an available target. */
+  #unavailable: readonly string[] = [];
 
   constructor(options: RegionPlacementOptions) {
     this.#options = options;
   }
 
-  /** Whether no region is known yet. */
+  /** Tells whether no region is known yet. */
   get isEmpty(): boolean {
-    return this.#rooms.length === 0;
+    return this.#capacities.length === 0;
   }
 
-  /** What was decided for each region last, and by what. */
+  /** Current placement of each region, with its inputs. */
   get parts(): PlacedRegion[] {
-    return this.#rooms.map((room) => ({
-      region: room.region,
-      homeShare: rounded(this.homeShare(room.region)),
-      slots: room.slots,
-      work: room.work === undefined ? undefined : rounded(room.work),
+    return this.#capacities.map((capacity) => ({
+      region: capacity.region,
+      homeShare: rounded(this.homeShare(capacity.region)),
+      slots: capacity.slots,
+      work: capacity.work === undefined ? undefined : rounded(capacity.work),
     }));
   }
 
-  /** Part of the region's keys that stay with its own targets. */
+  /** Share of the keys of the region that its own targets serve. */
   homeShare(region: string): number {
-    return this.#regions.get(region)?.homeShare ?? 0;
+    return this.#states.get(region)?.homeShare ?? 0;
   }
 
-  /** Whether the region serves this key for its own callers. */
+  /** Tells whether the region serves this key for its own callers. */
   isServedLocally(region: string, key: string): boolean {
-    return positionOf(key) < this.homeShare(region);
+    return keyPosition(key) < this.homeShare(region);
   }
 
-  /** Whether the region serves this key where the way to others is dear: as far as it has room. */
+  /** Tells whether the region serves this key if transfers to other regions are expensive. */
   prefersLocal(region: string, key: string): boolean {
-    const part = (NEAR_LOAD / COMFORTABLE_LOAD) * this.homeShare(region);
-    return this.#options.disabledMechanisms.has('keys-at-home') || positionOf(key) < part;
+    const share = (LOCAL_UTILIZATION / TARGET_UTILIZATION) * this.homeShare(region);
+    return this.#options.disabledMechanisms.has('keys-at-home') || keyPosition(key) < share;
   }
 
   /**
-   * Regions in the order in which the key's requests prefer them; those come last whose targets
-   * cannot be used, or are all cold.
+   * Returns all regions in the order of preference for a key; regions whose targets are all
+   * unavailable or cold come last.
    */
   regionOrder(key: string): string[] {
-    return [...this.#presentOrderOf(key), ...this.#absent];
+    return [...this.#availableOrder(key), ...this.#unavailable];
   }
 
-  /** A region has a target: until parts are decided anew, for up to a second, it comes last rather than never. */
+  /** Adds a region that got its first target. It ranks last until the next update. */
   addRegion(region: string): void {
-    if (!this.#regions.has(region) && !this.#absent.includes(region)) {
-      this.#absent = [...this.#absent, region];
+    if (!this.#states.has(region) && !this.#unavailable.includes(region)) {
+      this.#unavailable = [...this.#unavailable, region];
     }
   }
 
-  #presentOrderOf(key: string): string[] {
-    const { ownRegion, disabledMechanisms: leftOut } = this.#options;
-    const ranked = [...this.#regions.keys()]
-      .map((region) => ({ region, rank: this.#rankOf(region, key) }))
+  #availableOrder(key: string): string[] {
+    const { ownRegion, disabledMechanisms: disabled } = this.#options;
+    const ranked = [...this.#states.keys()]
+      .map((region) => ({ region, rank: this.#weightOf(region, key) }))
       .sort((a, b) => b.rank - a.rank)
       .map(({ region }) => region);
-    if (!this.#regions.has(ownRegion) || leftOut.has('keys-at-home')) {
+    if (!this.#states.has(ownRegion) || disabled.has('keys-at-home')) {
       return ranked;
     }
     const others = ranked.filter((region) => region !== ownRegion);
     return this.isServedLocally(ownRegion, key) ? [ownRegion, ...others] : [...others, ownRegion];
   }
 
-  /** Takes over what there is and is asked for now; to be called a few times a second. */
-  update(rooms: readonly RegionCapacity[], now: number): void {
-    const isMeasured = rooms.some(({ work }) => work !== undefined && work > 0);
-    // Before callers come nothing is moved by a change: the parts are taken as they come out.
+  /** Updates capacity and demand. Called several times per second. */
+  update(capacities: readonly RegionCapacity[], now: number): void {
+    const isMeasured = capacities.some(({ work }) => work !== undefined && work > 0);
+    // Without any demand so far, a change moves no requests and is applied at once.
     const isFirst = !this.#isMeasured;
     this.#isMeasured ||= isMeasured;
     const seconds = Math.max(0, now - this.#updatedAt) / 1_000;
     const step = isFirst && !isMeasured ? 1 : this.#options.maxStepPerSecond * seconds;
     this.#updatedAt = now;
-    this.#rooms = rooms;
-    this.#absent = rooms.filter(({ slots }) => slots === 0).map(({ region }) => region);
-    for (const region of [...this.#regions.keys()]) {
-      if (!rooms.some((room) => room.region === region && room.slots > 0)) {
-        this.#regions.delete(region);
+    this.#capacities = capacities;
+    this.#unavailable = capacities.filter(({ slots }) => slots === 0).map(({ region }) => region);
+    for (const region of [...this.#states.keys()]) {
+      if (!capacities.some((capacity) => capacity.region === region && capacity.slots > 0)) {
+        this.#states.delete(region);
       }
     }
-    const keepsHome = !this.#options.disabledMechanisms.has('keys-at-home');
-    for (const { region, homeShare, spare } of idealParts(rooms, isMeasured, keepsHome)) {
-      const part = this.#regions.get(region) ?? { homeShare, spare };
-      part.homeShare += clamp(homeShare - part.homeShare, -step, step);
-      part.spare += (isFirst && !isMeasured ? 1 : SPARE_WEIGHT) * (spare - part.spare);
-      this.#regions.set(region, part);
+    const servesLocally = !this.#options.disabledMechanisms.has('keys-at-home');
+    for (const { region, homeShare, spare } of idealShares(capacities, isMeasured, servesLocally)) {
+      const state = this.#states.get(region) ?? { homeShare, spare };
+      state.homeShare += clamp(homeShare - state.homeShare, -step, step);
+      state.spare += (isFirst && !isMeasured ? 1 : SPARE_WEIGHT) * (spare - state.spare);
+      this.#states.set(region, state);
     }
   }
 
-  /** Weighted rendezvous: a region is first for a part of the keys in proportion to its room. */
-  #rankOf(region: string, key: string): number {
-    const weight = Math.max(LEAST_SPARE, this.#regions.get(region)?.spare ?? 0);
+  /**
+   * Weighted rendezvous hashing: a region ranks first for a share of the keys in proportion to its
+   * spare capacity.
+   */
+  #weightOf(region: string, key: string): number {
+    const weight = Math.max(MIN_SPARE, this.#states.get(region)?.spare ?? 0);
     const point = (stableHash(`${region} ${key}`) + 1) / (HASH_RANGE + 1);
     return -weight / Math.log(point);
   }
 }
 
-/** Where the key lies among all, from 0 to 1; keys below a region's part stay there. */
-function positionOf(key: string): number {
+/** Position of the key from 0 to 1; a region keeps the keys below its home share. */
+function keyPosition(key: string): number {
   return stableHash(`home ${key}`) / HASH_RANGE;
 }
 
 /**
- * The parts that fit capacity and demand: each region is filled up to the load that it would have
- * with all targets equally busy, or to what is comfortable where that is more.
+ * Computes the shares that fit capacity and demand: each region is filled up to the utilization at
+ * which all targets are equally busy, or to the target utilization if that is higher.
  */
-function idealParts(
-  rooms: readonly RegionCapacity[],
+function idealShares(
+  capacities: readonly RegionCapacity[],
   isMeasured: boolean,
-  keepsHome: boolean,
+  servesLocally: boolean,
 ): { region: string; homeShare: number; spare: number }[] {
-  const present = rooms.filter(({ slots }) => slots > 0);
-  const slots = present.reduce((sum, room) => sum + room.slots, 0);
-  const workOf = (room: RegionCapacity): number =>
-    isMeasured ? (room.work ?? 0) : slots / Math.max(1, present.length);
-  const work = present.reduce((sum, room) => sum + workOf(room), 0);
+  const present = capacities.filter(({ slots }) => slots > 0);
+  const slots = present.reduce((sum, capacity) => sum + capacity.slots, 0);
+  const demandOf = (capacity: RegionCapacity): number =>
+    isMeasured ? (capacity.work ?? 0) : slots / Math.max(1, present.length);
+  const work = present.reduce((sum, capacity) => sum + demandOf(capacity), 0);
   const load = slots === 0 ? 0 : work / slots;
-  const filled = isMeasured ? Math.max(load, COMFORTABLE_LOAD) : load;
-  return present.map((room) => {
-    const own = workOf(room);
-    const fitting = filled * room.slots;
-    const kept = own <= fitting ? 1 : fitting / own;
-    const homeShare = keepsHome ? kept : 0;
-    return { region: room.region, homeShare, spare: fitting - homeShare * own };
+  const utilization = isMeasured ? Math.max(load, TARGET_UTILIZATION) : load;
+  return present.map((capacity) => {
+    const demand = demandOf(capacity);
+    const usable = utilization * capacity.slots;
+    const localShare = demand <= usable ? 1 : usable / demand;
+    const homeShare = servesLocally ? localShare : 0;
+    return { region: capacity.region, homeShare, spare: usable - homeShare * demand };
   });
 }
 
@@ -192,6 +194,6 @@
   return Number(value.toFixed(3));
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/packages/routing/src/removed-target-signals.ts
+++ b/packages/routing/src/removed-target-signals.ts
@@ -3,18 +3,21 @@
 import type { TargetState } from './target-state.js';
 import type { TargetSignals } from './target-signals.js';
 
-/** Starts whose word is kept; the first that went are forgotten first. */
-const MOST_KEPT = 1_024;
+/** Limit on stored incarnations; the oldest is evicted first. */
+const MAX_ENTRIES = 1_024;
 
 /**
- * What starts of targets said of themselves, in answers or records, whose record has gone. A record goes and comes back while its target lives:
- * the store lost it, or a host learned of it late. Such a target still leaves, rests, or has its limit. Where targets do not tell when they
- * began, the id names the start.
+ * Stores the signals of incarnations whose record was removed. A record may disappear and return
+ * while the target is alive, if the store lost it or a host received it late; its leaving, rest and
+ * limit must still apply. If targets do not report a start time, the id identifies the incarnation.
  */
 export class RemovedTargetSignals {
-  readonly #kept = new Map<string, TargetSignals>();
+  readonly #entries = new Map<string, TargetSignals>();
 
-  /** Its record has gone. An older one of the same start may come back, which does not know yet that the start leaves. */
+  /**
+   * Saves the signals of a removed target. Leaving is included, because an older record of the same
+   * incarnation may return that lacks it.
+   */
   save({ incarnationId: start, signals: word, leaving }: TargetState, now: number): void {
     if (leaving) {
       word.recordLeaving();
@@ -22,21 +25,21 @@
     if (!word.isLeaving && !word.isResting(now) && word.limit.perSecond === undefined) {
       return;
     }
-    this.#kept.delete(start);
-    this.#kept.set(start, word);
-    if (this.#kept.size > MOST_KEPT) {
-      this.#kept.delete(this.#kept.keys().next().value ?? '');
+    this.#entries.delete(start);
+    this.#entries.set(start, word);
+    if (this.#entries.size > MAX_ENTRIES) {
+      this.#entries.delete(this.#entries.keys().next().value ?? '');
     }
   }
 
-  /** What the start said that comes back; undefined where nothing is known. */
+  /** Returns and removes the signals of a returning incarnation; undefined if there are none. */
   restore(start: TargetIncarnation): TargetSignals | undefined {
-    if (this.#kept.size === 0) {
+    if (this.#entries.size === 0) {
       return undefined;
     }
     const name = incarnationId(start);
-    const word = this.#kept.get(name);
-    this.#kept.delete(name);
+    const word = this.#entries.get(name);
+    this.#entries.delete(name);
     return word;
   }
 }
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,20 +1,20 @@
 import type { Clock } from '@ferrylock/utils';
 import { SlidingWindowCounter } from './sliding-window-counter.js';
 
-/** Part of each shared limit that is left unused, for clocks that differ and messages under way. */
-const MARGIN = 0.8;
-/** A bound on what retries add to a service's arrivals, over all entry hosts together. */
+/** Fraction of the budget that is used; the rest covers clock drift and messages in flight. */
+const UTILIZATION = 0.8;
+/** Limit on the retries of a service over all entry hosts together. */
 export interface RetryBudgetSettings {
-  /** Retries for each request. */
+  /** Allowed retries per request. */
   readonly ratio: number;
-  /** Retries that may come on top in each window, over all entry hosts. */
+  /** Additional retries in each window, over all entry hosts. */
   readonly slack: number;
   readonly windowMilliseconds: number;
 }
 
 /**
- * This entry host's part of a service's retry bound: a share of its own requests, and an equal part
- * of the slack. Holds without a message, since parts of the requests add up to the requests.
+ * Retry budget of this entry host: a ratio of its own requests plus an equal share of the slack.
+ * The budgets of all hosts add up to the limit without coordination.
  */
 export class RetryBudget {
   readonly #requests: SlidingWindowCounter;
@@ -32,10 +32,10 @@
     this.#requests.add();
   }
 
-  /** @param hosts - entry hosts that the slack is divided among */
+  /** @param hosts - number of entry hosts that share the slack */
   tryAcquire(hosts: number): boolean {
     const { ratio, slack } = this.bound;
-    const allowed = MARGIN * (ratio * this.#requests.total + slack / hosts);
+    const allowed = UTILIZATION * (ratio * this.#requests.total + slack / hosts);
     if (this.#retries.total + 1 > allowed) {
       return false;
     }
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -1,22 +1,22 @@
 import type { Route } from './route-configuration.js';
 
-/** Routes by host name, each host's from the longest prefix to the shortest. */
+/** Routes by host name, sorted by descending prefix length. */
 export class RouteTable {
   readonly #byHost = new Map<string, Route[]>();
 
   constructor(routes: readonly Route[]) {
     for (const route of routes) {
-      const ofHost = this.#byHost.get(route.host) ?? [];
-      ofHost.push(route);
-      this.#byHost.set(route.host, ofHost);
+      const hostRoutes = this.#byHost.get(route.host) ?? [];
+      hostRoutes.push(route);
+      this.#byHost.set(route.host, hostRoutes);
     }
-    for (const ofHost of this.#byHost.values()) {
-      ofHost.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+    for (const hostRoutes of this.#byHost.values()) {
+      hostRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
   }
 
   /**
-   * @param hostHeader - as the caller sent it; a port and letter case do not matter
+   * @param hostHeader - value sent by the caller; port and letter case are ignored
    * @param path - with or without a query
    */
   find(hostHeader: string, path: string): Route | undefined {
--- a/packages/routing/src/service-targets.ts
+++ b/packages/routing/src/service-targets.ts
@@ -23,55 +23,55 @@
 import { TargetState } from './target-state.js';
 import { ProcessingTimes } from './processing-times.js';
 
-/** How long requests get a connection each after a target sent an answer to another request. */
-const DISTRUST_MILLISECONDS = 10_000;
-/** Weight of one answer in the average time of work: some two seconds of a host's requests. */
-const RUN_WEIGHT = 0.02;
+/** Time for which connections are not reused after a target responded to the wrong request. */
+const REUSE_DISABLED_MILLISECONDS = 10_000;
+/** Weight of one response in the average processing time. */
+const PROCESSING_WEIGHT = 0.02;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 export interface ServiceTargetsOptions {
   readonly clock: Clock;
   readonly retryBudget: RetryBudgetSettings;
-  /** Region of each failure domain. */
+  /** Maps a failure domain to its region. */
   readonly regionOf: (failureDomain: string) => string;
   readonly ownRegion: string;
-  /** Whether a failure domain is being emptied. */
+  /** Tells whether a failure domain is being evacuated. */
   readonly isEvacuated: (failureDomain: string) => boolean;
   readonly regionShiftLimit: RegionShiftLimit;
-  /** Of all services of this host together, as the bound on shifts counts them. */
+  /** Overflow budget shared by all services of this host. */
   readonly overflows: OverflowBudget;
-  /** Of all services of this host together. */
+  /** Limits advertised by targets, shared by all services of this host. */
   readonly limits: Pick<TargetLimits, 'tryAcquire' | 'waitMilliseconds'>;
   readonly disabledMechanisms: DisabledMechanisms;
 }
 
-/** A request that looks for a target. */
+/** Request that needs a target. */
 export interface SelectionRequest {
   readonly route: Route;
   readonly key: string;
-  /** Targets that were tried for it already. */
+  /** Targets already tried for this request. */
   readonly tried: ReadonlySet<string>;
-  /** Largest priority number of all routes. */
+  /** Largest priority number of all routes; larger numbers are less urgent. */
   readonly lowestPriority: number;
   readonly ownName: string;
-  /** Hosts that may send to a cold target; the same array while nothing changes. */
+  /** Hosts that may send to a cold target. The array is replaced when membership changes. */
   readonly coldSenders: readonly string[];
 }
 
-/** An answer by a target that ran the request. */
+/** Response of a target that processed the request. */
 export interface ObservedResponse {
   readonly route: Route;
   readonly key: string;
-  /** From the send to the whole answer. */
+  /** Time from sending to the end of the response. */
   readonly milliseconds: number;
-  /** The target's load before the send, for each of its slots. */
+  /** Load per slot of the target before the request was sent. */
   readonly loadPerSlot: number;
 }
 
-/** What a record brought: a target, another start of one, or news of a known start. */
+/** Result of a record: a new target, a new incarnation, or an update. */
 export type PutOutcome = 'added' | 'reborn' | 'updated';
 
-/** One service's targets, how to choose among them, and what its requests may draw on. */
+/** Targets of one service, with target selection and the budgets of its requests. */
 export class ServiceTargets {
   readonly targets = new Map<string, TargetState>();
   readonly selector: TargetSelector;
@@ -79,15 +79,15 @@
   readonly roundTripTimes = new RoundTripTimes();
   readonly retryBudget: RetryBudget;
   readonly coldStartLimiter: ColdStartLimiter;
-  /** Requests of this host's callers. */
+  /** Rate of requests from callers of this host. */
   readonly requestRate: RequestRate;
-  /** Absent while no configuration names the service. */
+  /** Undefined while no configuration contains the service. */
   settings: RoutedService | undefined;
   readonly #options: ServiceTargetsOptions;
-  readonly #run = new MovingAverage(RUN_WEIGHT);
-  readonly #workOfRoute = new Map<string, ProcessingTimes>();
-  readonly #formerWords = new RemovedTargetSignals();
-  #distrustedUntil = -Infinity;
+  readonly #processing = new MovingAverage(PROCESSING_WEIGHT);
+  readonly #processingByRoute = new Map<string, ProcessingTimes>();
+  readonly #removedSignals = new RemovedTargetSignals();
+  #reuseDisabledUntil = -Infinity;
 
   constructor(
     readonly name: string,
@@ -108,19 +108,22 @@
     this.requestRate = new RequestRate(options.clock);
   }
 
-  /** Whether a record is of an earlier start than the known one, or was written earlier by the same. */
+  /**
+   * Tells whether a record belongs to an earlier incarnation, or was written earlier by the same
+   * one.
+   */
   isStale(record: TargetRecord): boolean {
     const known = this.targets.get(record.id)?.record;
     if (known === undefined || record.bornAt === undefined) {
       return false;
     }
-    const start = compareIncarnations(record, known);
-    return start === 'earlier' || (start === 'same' && isWrittenBefore(record, known));
+    const order = compareIncarnations(record, known);
+    return order === 'earlier' || (order === 'same' && isWrittenBefore(record, known));
   }
 
   /**
-   * Takes a record on that is no old news. Nothing that is known of a start holds for the next one under the same id: neither that it
-   * leaves, nor its load, its failures or the objects that it had.
+   * Applies a record that is not stale. A new incarnation under the same id inherits nothing:
+   * neither leaving nor load, failures or cached objects.
    */
   put(record: TargetRecord): PutOutcome {
     const known = this.targets.get(record.id);
@@ -138,8 +141,8 @@
   }
 
   #add(record: TargetRecord): void {
-    const word = this.#formerWords.restore(record);
-    const added = new TargetState(record, this.#options.clock.now(), word);
+    const signals = this.#removedSignals.restore(record);
+    const added = new TargetState(record, this.#options.clock.now(), signals);
     this.targets.set(record.id, added);
     this.selector.add(added);
     this.placement.addRegion(this.#options.regionOf(record.failureDomain));
@@ -151,57 +154,60 @@
       return;
     }
     this.targets.delete(id);
-    this.#formerWords.save(target, this.#options.clock.now());
+    this.#removedSignals.save(target, this.#options.clock.now());
     this.coldStartLimiter.forget(target.incarnationId);
     this.selector.remove(target);
   }
 
-  /** The target to send a request to now, or undefined where none may take it. */
+  /** Selects the target for a request; undefined if none is eligible. */
   select(request: SelectionRequest): TargetState | undefined {
-    const { route, key, tried, lowestPriority: leastUrgent } = request;
+    const { route, key, tried, lowestPriority } = request;
     if (this.placement.isEmpty) {
       this.updatePlacement(() => undefined);
     }
-    const work = this.#workOf(route);
-    const demand = {
+    const times = this.#processingOf(route);
+    const criteria = {
       key,
       homeRegions: route.homeRegions,
       tried,
       maxLoadPerSlot: maxLoadPerSlot({
         route,
-        processingMilliseconds: this.#run.value,
-        lowestPriority: leastUrgent,
+        processingMilliseconds: this.#processing.value,
+        lowestPriority,
       }),
       prefersOwnRegion: route.kind === 'upload',
-      processingMilliseconds: work.hitMilliseconds,
-      missPenaltyMilliseconds: work.missPenaltyMilliseconds,
+      processingMilliseconds: times.hitMilliseconds,
+      missPenaltyMilliseconds: times.missPenaltyMilliseconds,
       mayOverflow: this.#options.overflows.hasRoom,
     };
-    const chosen = this.#chooseInLimits(demand, request);
-    this.#countOverflow(demand, chosen);
-    return chosen;
+    const selected = this.#selectWithinLimits(criteria, request);
+    this.#countOverflow(criteria, selected);
+    return selected;
   }
 
   /**
-   * Whatever a target is chosen for, it gets no request beyond this host's part of a limit that it names: it is left out
-   * of this choice then, as if it rested. What it would have got is counted as asked of it.
+   * Selects a target within the share that this host has of its advertised limit. A target without
+   * capacity is excluded like a resting one; the request still counts as demand for it.
    */
-  #chooseInLimits(demand: SelectionCriteria, request: SelectionRequest): TargetState | undefined {
+  #selectWithinLimits(
+    criteria: SelectionCriteria,
+    request: SelectionRequest,
+  ): TargetState | undefined {
     const { limits } = this.#options;
-    let { tried } = demand;
-    let chosen = this.#chooseUnlimited(demand, request);
-    while (chosen !== undefined && !limits.tryAcquire(chosen)) {
-      tried = new Set([...tried, chosen.id]);
-      chosen = this.#chooseUnlimited({ ...demand, tried }, request);
+    let { tried } = criteria;
+    let selected = this.#selectUnlimited(criteria, request);
+    while (selected !== undefined && !limits.tryAcquire(selected)) {
+      tried = new Set([...tried, selected.id]);
+      selected = this.#selectUnlimited({ ...criteria, tried }, request);
     }
-    return chosen;
+    return selected;
   }
 
-  #chooseUnlimited(
-    demand: SelectionCriteria,
+  #selectUnlimited(
+    criteria: SelectionCriteria,
     { ownName, coldSenders }: SelectionRequest,
   ): TargetState | undefined {
-    return this.selector.select(demand, this.#options.clock.now(), (target) =>
+    return this.selector.select(criteria, this.#options.clock.now(), (target) =>
       this.coldStartLimiter.tryAcquire({
         target: target.incarnationId,
         requestsPerSecond: this.settings?.coldRequestsPerSecond ?? Infinity,
@@ -211,99 +217,105 @@
     );
   }
 
-  /** Counts requests that leave the region that they prefer. */
-  #countOverflow(demand: PlacementCriteria, chosen: TargetState | undefined): void {
+  /** Records whether a request left its preferred region. */
+  #countOverflow(criteria: PlacementCriteria, selected: TargetState | undefined): void {
     const { regionOf, overflows } = this.#options;
-    const region = chosen === undefined ? undefined : regionOf(chosen.record.failureDomain);
+    const region = selected === undefined ? undefined : regionOf(selected.record.failureDomain);
     overflows.recordRequest();
-    if (region !== undefined && region !== this.selector.regionsFor(demand)[0]) {
+    if (region !== undefined && region !== this.selector.regionsFor(criteria)[0]) {
       overflows.recordOverflow();
     }
   }
 
   /**
-   * How long a target that is as full as it may be takes to work off what it has, in milliseconds: a
-   * caller that comes back then finds room, if no more come than before. Undefined before the first
-   * answer.
+   * Estimates how long a target at its maximum load takes to work off its backlog, in milliseconds:
+   * the retry delay after which a caller finds capacity at constant demand. Undefined before the
+   * first response.
    */
-  backlogMilliseconds(route: Route, leastUrgent: number): number | undefined {
-    const runMilliseconds = this.#run.value;
-    return runMilliseconds === undefined
+  backlogMilliseconds(route: Route, lowestPriority: number): number | undefined {
+    const processingMilliseconds = this.#processing.value;
+    return processingMilliseconds === undefined
       ? undefined
-      : runMilliseconds *
+      : processingMilliseconds *
           maxLoadPerSlot({
             route,
-            processingMilliseconds: runMilliseconds,
-            lowestPriority: leastUrgent,
+            processingMilliseconds,
+            lowestPriority,
           });
   }
 
-  /** Where all targets that may take a request of this route rest, or have their limit used up: until when. */
+  /**
+   * Tells when the first eligible target becomes available, if all of them rest or are at their
+   * limit.
+   */
   earliestAvailability({
     homeRegions,
   }: Pick<Route, 'homeRegions'>): TargetAvailability | undefined {
-    const { clock, regionOf, isEvacuated, limits, disabledMechanisms: leftOut } = this.#options;
-    const mayTake = ({ leaving, record: { failureDomain } }: TargetState): boolean =>
+    const { clock, regionOf, isEvacuated, limits, disabledMechanisms: disabled } = this.#options;
+    const isEligible = ({ leaving, record: { failureDomain } }: TargetState): boolean =>
       !leaving &&
       !isEvacuated(failureDomain) &&
       (homeRegions.length === 0 || homeRegions.includes(regionOf(failureDomain)));
     return earliestAvailability(this.targets.values(), {
       now: clock.now(),
-      mayTake,
+      isEligible,
       limits,
-      disabledMechanisms: leftOut,
+      disabledMechanisms: disabled,
     });
   }
 
   /**
-   * A try brought no usable answer.
+   * Records an attempt without a usable response.
    *
-   * @returns for how long the target is now left alone, in milliseconds
+   * @returns the ejection time in milliseconds
    */
   recordFailure(target: TargetState): number {
-    const { clock, disabledMechanisms: leftOut } = this.#options;
-    return leftOut.has('ejection') ? 0 : target.recordFailure(clock.now());
+    const { clock, disabledMechanisms: disabled } = this.#options;
+    return disabled.has('ejection') ? 0 : target.recordFailure(clock.now());
   }
 
-  /** Learns from an answer how long work takes, and that the target knows the object. */
-  recordResponse(target: TargetState, answered: ObservedResponse): void {
-    const { route, key, milliseconds, loadPerSlot } = answered;
+  /** Updates processing times and cached objects from a response. */
+  recordResponse(target: TargetState, response: ObservedResponse): void {
+    const { route, key, milliseconds, loadPerSlot } = response;
     const now = this.#options.clock.now();
-    const way = this.roundTripTimes.of(target.record.failureDomain);
-    const worked = Math.max(1, milliseconds - way) / Math.max(1, loadPerSlot);
-    this.#workOf(route).record(worked, target.hasCached(key, now));
-    this.#run.add(worked);
+    const roundTrip = this.roundTripTimes.of(target.record.failureDomain);
+    const processed = Math.max(1, milliseconds - roundTrip) / Math.max(1, loadPerSlot);
+    this.#processingOf(route).record(processed, target.hasCached(key, now));
+    this.#processing.add(processed);
     target.recordResponse(key, now);
   }
 
   /**
-   * Decides anew which part of the keys stays in which region.
+   * Recomputes the share of keys that each region serves.
    *
-   * @param requestsPerSecond - what a region's callers ask of this service; undefined where that is
-   *   not known
+   * @param requestsPerSecond - demand of the callers of a region for this service; undefined if
+   *   unknown
    */
   updatePlacement(requestsPerSecond: (region: string) => number | undefined): void {
-    this.placement.update(this.#rooms(requestsPerSecond), this.#options.clock.now());
+    this.placement.update(this.#capacities(requestsPerSecond), this.#options.clock.now());
   }
 
-  /** Whether connections to its targets may carry bytes that belong to no request. */
+  /**
+   * Tells whether connections to its targets may hold bytes of another response and must not be
+   * reused.
+   */
   get isConnectionReuseDisabled(): boolean {
-    return this.#options.clock.now() < this.#distrustedUntil;
+    return this.#options.clock.now() < this.#reuseDisabledUntil;
   }
 
   /**
-   * One of its targets answered a request that it was not asked.
+   * Disables connection reuse after a target responded to the wrong request.
    *
-   * @returns whether its connections were trusted until now
+   * @returns whether connections were reused until now
    */
   disableConnectionReuse(): boolean {
-    const wasTrusted = !this.isConnectionReuseDisabled;
-    this.#distrustedUntil = this.#options.clock.now() + DISTRUST_MILLISECONDS;
-    return wasTrusted;
+    const wasReused = !this.isConnectionReuseDisabled;
+    this.#reuseDisabledUntil = this.#options.clock.now() + REUSE_DISABLED_MILLISECONDS;
+    return wasReused;
   }
 
-  #rooms(requestsPerSecond: (region: string) => number | undefined): RegionCapacity[] {
-    const { regionOf, isEvacuated, disabledMechanisms: leftOut, clock } = this.#options;
+  #capacities(requestsPerSecond: (region: string) => number | undefined): RegionCapacity[] {
+    const { regionOf, isEvacuated, disabledMechanisms: disabled, clock } = this.#options;
     const now = clock.now();
     const slots = new Map<string, number>();
     for (const target of this.targets.values()) {
@@ -312,18 +324,18 @@
       const region = regionOf(failureDomain);
       slots.set(region, (slots.get(region) ?? 0) + (isUsable ? target.record.slots : 0));
     }
-    const run = this.#run.value;
+    const processing = this.#processing.value;
     return [...slots].map(([region, count]) => {
-      const rate = leftOut.has('measured-demand') ? undefined : requestsPerSecond(region);
-      const isKnown = rate !== undefined && run !== undefined;
-      const work = isKnown ? (rate * run) / MILLISECONDS_PER_SECOND : undefined;
+      const rate = disabled.has('measured-demand') ? undefined : requestsPerSecond(region);
+      const isKnown = rate !== undefined && processing !== undefined;
+      const work = isKnown ? (rate * processing) / MILLISECONDS_PER_SECOND : undefined;
       return { region, slots: count, work };
     });
   }
 
-  #workOf({ name }: Route): ProcessingTimes {
-    const known = this.#workOfRoute.get(name) ?? new ProcessingTimes();
-    this.#workOfRoute.set(name, known);
+  #processingOf({ name }: Route): ProcessingTimes {
+    const known = this.#processingByRoute.get(name) ?? new ProcessingTimes();
+    this.#processingByRoute.set(name, known);
     return known;
   }
 }
--- a/packages/routing/src/sliding-window-counter.ts
+++ b/packages/routing/src/sliding-window-counter.ts
@@ -1,9 +1,9 @@
 import type { Clock } from '@ferrylock/utils';
 
-/** Buckets that a stretch is counted in, where nothing else is said. */
-const BUCKETS = 10;
+/** Default number of buckets in a window. */
+const DEFAULT_BUCKETS = 10;
 
-/** Counts what happened in the last stretch of time, in buckets; the oldest goes as a whole. */
+/** Event counter over a sliding window, divided into buckets that expire as a whole. */
 export class SlidingWindowCounter {
   readonly #counts: number[];
   readonly #bucketMilliseconds: number;
@@ -13,13 +13,13 @@
   constructor(
     readonly clock: Clock,
     readonly windowMilliseconds: number,
-    buckets = BUCKETS,
+    buckets = DEFAULT_BUCKETS,
   ) {
     this.#counts = new Array<number>(buckets).fill(0);
     this.#bucketMilliseconds = windowMilliseconds / buckets;
   }
 
-  /** @param count - below zero for what was counted and did not happen */
+  /** @param count - negative to undo a previous count */
   add(count = 1): void {
     this.#advance();
     const index = this.#bucket % this.#counts.length;
--- a/packages/routing/src/target-availability.ts
+++ b/packages/routing/src/target-availability.ts
@@ -2,23 +2,26 @@
 import type { DisabledMechanisms } from './mechanisms.js';
 import type { TargetState } from './target-state.js';
 
-/** Targets that a refused request's line names as the cause. */
-const MOST_NAMED = 4;
+/** Limit on targets of each refusal that are reported as the cause. */
+const MAX_REPORTED_TARGETS = 4;
 
-/** All targets that might take a request have asked this host for rest, or get as many as they named. */
+/**
+ * Time until the first eligible target becomes available, while all of them rest or are at their
+ * advertised limit.
+ */
 export interface TargetAvailability {
-  /** Until the first of them takes a request. */
+  /** Wait until the first of them accepts a request. */
   readonly milliseconds: number;
-  /** The first few that rest. */
+  /** Ids of the first few resting targets. */
   readonly resting: readonly string[];
-  /** The first few whose limit is used up. */
+  /** Ids of the first few targets at their limit. */
   readonly limited: readonly string[];
 }
 
 export interface TargetAvailabilityOptions {
   readonly now: number;
-  /** Whether a target might take the request, but for its rest and its limit. */
-  readonly mayTake: (target: TargetState) => boolean;
+  /** Tells whether a target is eligible apart from its rest and its limit. */
+  readonly isEligible: (target: TargetState) => boolean;
   readonly limits: Pick<TargetLimits, 'waitMilliseconds'>;
   readonly disabledMechanisms: DisabledMechanisms;
 }
@@ -29,17 +32,20 @@
   readonly isResting: boolean;
 }
 
-/** The wait that all targets have in common which might take a request; the first that takes one now ends the look. */
+/**
+ * Finds when the first eligible target becomes available; undefined if one is available now or none
+ * is eligible.
+ */
 export function earliestAvailability(
   targets: Iterable<TargetState>,
-  { now, mayTake, limits, disabledMechanisms: leftOut }: TargetAvailabilityOptions,
+  { now, isEligible, limits, disabledMechanisms: disabled }: TargetAvailabilityOptions,
 ): TargetAvailability | undefined {
   const waiting: Waiting[] = [];
   for (const target of targets) {
-    if (!mayTake(target)) {
+    if (!isEligible(target)) {
       continue;
     }
-    const isResting = target.isResting(now, leftOut);
+    const isResting = target.isResting(now, disabled);
     const rest = isResting ? target.signals.restsUntil - now : 0;
     const milliseconds = Math.max(rest, limits.waitMilliseconds(target));
     if (milliseconds <= 0) {
@@ -47,14 +53,14 @@
     }
     waiting.push({ id: target.id, milliseconds, isResting });
   }
-  waiting.sort((one, other) => one.milliseconds - other.milliseconds);
+  waiting.sort((a, b) => a.milliseconds - b.milliseconds);
   const [first] = waiting;
-  const named = waiting.slice(0, MOST_NAMED);
+  const reported = waiting.slice(0, MAX_REPORTED_TARGETS);
   return first === undefined
     ? undefined
     : {
         milliseconds: first.milliseconds,
-        resting: named.filter(({ isResting }) => isResting).map(({ id }) => id),
-        limited: named.filter(({ isResting }) => !isResting).map(({ id }) => id),
+        resting: reported.filter(({ isResting }) => isResting).map(({ id }) => id),
+        limited: reported.filter(({ isResting }) => !isResting).map(({ id }) => id),
       };
 }
--- a/packages/routing/src/target-incarnation.ts
+++ b/packages/routing/src/target-incarnation.ts
@@ -1,29 +1,29 @@
-/** One start of a target: its id, which a later start may have too, and when that start began. */
+/** Incarnation of a target: its id, which later incarnations share, and its start time. */
 export interface TargetIncarnation {
   readonly id: string;
   /**
-   * Unix milliseconds by the target's own clock, which says nothing to any other clock; undefined where a target
-   * does not tell, so that its id alone names the start.
+   * Start time in Unix milliseconds by the clock of the target, not comparable with other clocks;
+   * undefined if not reported, so that the id alone identifies the incarnation.
    */
   readonly bornAt?: number | undefined;
 }
 
-/** Stands in no id. */
+/** Does not occur in ids. */
 const SEPARATOR = '~';
 const RADIX = 36;
 
-/** Names a start among all starts of all targets. */
+/** Formats the unique identifier of an incarnation. */
 export function incarnationId({ id, bornAt }: TargetIncarnation): string {
   return bornAt === undefined ? id : `${id}${SEPARATOR}${bornAt.toString(RADIX)}`;
 }
 
-/** The id in the name of a start. */
+/** Extracts the target id from the identifier of an incarnation. */
 export function targetIdOf(name: string): string {
   const end = name.lastIndexOf(SEPARATOR);
   return end < 0 ? name : name.slice(0, end);
 }
 
-/** Whether a start of a target is the same as another one of it, as far as it tells, or came before or after. */
+/** Orders two incarnations of a target by start time; unknown start times compare as the same. */
 export function compareIncarnations(
   one: TargetIncarnation,
   other: TargetIncarnation,
--- a/packages/routing/src/target-ranking.ts
+++ b/packages/routing/src/target-ranking.ts
@@ -1,39 +1,39 @@
 import { combineHashes, stableHash } from '@ferrylock/utils';
 import type { TargetState } from './target-state.js';
 
-/** Keys whose order is kept; the first made go first. */
+/** Limit on cached keys; the oldest is evicted first. */
 const MOST_CACHED_KEYS = 5_000;
-/** Targets of a region that are kept: so many that some are usable on all but the worst days. */
-const KEPT_OF_REGION = 12;
-/** Targets that are left of those kept, after others went, before the order is made anew. */
-const FEWEST_KEPT = 6;
+/** Cached targets of each region; enough that some are usually available. */
+const CACHED_PER_REGION = 12;
+/** Minimum cached targets of a region after removals, below which the entry is recomputed. */
+const MIN_CACHED_PER_REGION = 6;
 
-/** Targets of each region in a key's order. */
+/** Targets of each region, in the rank order of one key. */
 export type RankedTargets = ReadonlyMap<string, readonly TargetState[]>;
 
-/** A target with its weight for one key; the heaviest comes first. */
-interface Ranked {
+/** Target with its rendezvous weight for one key; the highest weight ranks first. */
+interface WeightedTarget {
   readonly target: TargetState;
   readonly weight: number;
 }
 
-/** What is kept of one key's order. */
-interface KeptOrder {
+/** Cached ranking of one key. */
+interface CachedRanking {
   readonly keyHash: number;
-  readonly ranked: Map<string, Ranked[]>;
-  /** The same, without weights. */
+  readonly ranked: Map<string, WeightedTarget[]>;
+  /** Ranked targets without their weights. */
   readonly targets: Map<string, TargetState[]>;
 }
 
 /**
- * The order of targets for a key, region by region, the same at every entry host: rendezvous
- * hashing, so that a target's coming or going moves only the keys that it gains or loses. What is
- * kept follows a coming target at one hash a key, and not at one for each key and target.
+ * Ranking of targets for a key in each region by rendezvous hashing. All entry hosts compute the
+ * same order, and adding or removing a target moves only the keys that it gains or loses. Cached
+ * rankings are updated incrementally: a new target costs one hash per cached key.
  */
 export class TargetRanking {
   readonly #regionOf: (target: TargetState) => string;
   readonly #members = new Map<string, TargetState[]>();
-  readonly #kept = new Map<string, KeptOrder>();
+  readonly #cache = new Map<string, CachedRanking>();
 
   constructor(regionOf: (target: TargetState) => string) {
     this.#regionOf = regionOf;
@@ -44,7 +44,7 @@
     const members = this.#members.get(region) ?? [];
     members.push(target);
     this.#members.set(region, members);
-    for (const order of this.#kept.values()) {
+    for (const order of this.#cache.values()) {
       const weight = combineHashes(order.keyHash, target.idHash);
       insert(order, region, { target, weight }, members.length);
     }
@@ -54,10 +54,10 @@
     const region = this.#regionOf(target);
     const left = (this.#members.get(region) ?? []).filter((member) => member !== target);
     this.#members.set(region, left);
-    for (const [key, { ranked, targets }] of this.#kept) {
+    for (const [key, { ranked, targets }] of this.#cache) {
       const kept = ranked.get(region)?.filter((entry) => entry.target !== target) ?? [];
-      if (kept.length < Math.min(FEWEST_KEPT, left.length)) {
-        this.#kept.delete(key);
+      if (kept.length < Math.min(MIN_CACHED_PER_REGION, left.length)) {
+        this.#cache.delete(key);
       } else {
         ranked.set(region, kept);
         targets.set(region, kept.map(targetOf));
@@ -65,33 +65,33 @@
     }
   }
 
-  /** The first targets of each region. */
+  /** Top-ranked targets of each region. */
   ranksOf(key: string): RankedTargets {
-    const known = this.#kept.get(key);
+    const known = this.#cache.get(key);
     if (known !== undefined) {
       return known.targets;
     }
-    if (this.#kept.size >= MOST_CACHED_KEYS) {
-      this.#kept.delete(this.#kept.keys().next().value ?? '');
+    if (this.#cache.size >= MOST_CACHED_KEYS) {
+      this.#cache.delete(this.#cache.keys().next().value ?? '');
     }
     const keyHash = stableHash(key);
-    const ranked = this.#rank(keyHash, KEPT_OF_REGION);
+    const ranked = this.#rank(keyHash, CACHED_PER_REGION);
     const targets = withoutWeights(ranked);
-    this.#kept.set(key, { keyHash, ranked, targets });
+    this.#cache.set(key, { keyHash, ranked, targets });
     return targets;
   }
 
-  /** All targets of each region, for when the first ones do not suffice. */
+  /** All targets of each region, for when the top-ranked ones are not enough. */
   allRanksOf(key: string): RankedTargets {
     const ranks = this.ranksOf(key);
-    const isWhole = [...this.#members].every(
+    const isComplete = [...this.#members].every(
       ([region, members]) => members.length === (ranks.get(region)?.length ?? 0),
     );
-    return isWhole ? ranks : withoutWeights(this.#rank(stableHash(key), Infinity));
+    return isComplete ? ranks : withoutWeights(this.#rank(stableHash(key), Infinity));
   }
 
-  #rank(keyHash: number, most: number): Map<string, Ranked[]> {
-    const ranks = new Map<string, Ranked[]>();
+  #rank(keyHash: number, most: number): Map<string, WeightedTarget[]> {
+    const ranks = new Map<string, WeightedTarget[]>();
     for (const [region, members] of this.#members) {
       const ranked = members.map((target) => ({
         target,
@@ -103,34 +103,34 @@
   }
 }
 
-/** Puts a target in its place among those kept, unless its place is after them. */
+/** Inserts a target at its rank, unless it ranks below the cached targets. */
 function insert(
-  { ranked, targets }: KeptOrder,
+  { ranked, targets }: CachedRanking,
   region: string,
-  entry: Ranked,
+  entry: WeightedTarget,
   memberCount: number,
 ): void {
   const kept = ranked.get(region) ?? [];
   const place = kept.findIndex((other) => compare(entry, other) < 0);
-  const isWhole = kept.length === memberCount - 1;
-  if (place === -1 && !isWhole) {
+  const isComplete = kept.length === memberCount - 1;
+  if (place === -1 && !isComplete) {
     return;
   }
   kept.splice(place === -1 ? kept.length : place, 0, entry);
-  kept.length = Math.min(kept.length, KEPT_OF_REGION);
+  kept.length = Math.min(kept.length, CACHED_PER_REGION);
   ranked.set(region, kept);
   targets.set(region, kept.map(targetOf));
 }
 
-/** Heaviest first; of equals, the one whose name comes first. */
-function compare(a: Ranked, b: Ranked): number {
+/** Orders by descending weight, then by id. */
+function compare(a: WeightedTarget, b: WeightedTarget): number {
   return b.weight - a.weight || (a.target.id < b.target.id ? -1 : 1);
 }
 
-function targetOf({ target }: Ranked): TargetState {
+function targetOf({ target }: WeightedTarget): TargetState {
   return target;
 }
 
-function withoutWeights(ranked: ReadonlyMap<string, Ranked[]>): Map<string, TargetState[]> {
+function withoutWeights(ranked: ReadonlyMap<string, WeightedTarget[]>): Map<string, TargetState[]> {
   return new Map([...ranked].map(([region, entries]) => [region, entries.map(targetOf)]));
 }
--- a/packages/routing/src/target-selector.ts
+++ b/packages/routing/src/target-selector.ts
@@ -4,186 +4,194 @@
 import type { RegionPlacement } from './region-placement.js';
 import type { TargetState } from './target-state.js';
 
-/** Targets of a region that are to know a key's object, so that one outlives the loss of the other. */
-const COPIES = 2;
 /**
- * Requests for each slot up to which a target takes objects that it does not know. It works longer
- * on these: where all are busy, that would make them busier still.
+ * Targets of a region that cache an object, so that the loss of one target does not cause a miss.
  */
-const SPILL_LOAD_PER_SLOT = 0.5;
-/** Work on an object takes this many times as long where it is unknown, before that is measured. */
-const PRESUMED_EXTRA = 1;
+const REPLICAS = 2;
+/**
+ * Load per slot up to which a target accepts objects that it has not cached. Cache misses take
+ * longer, which would increase the load further where all targets are busy.
+ */
+const MAX_MISS_LOAD_PER_SLOT = 0.5;
+/** Presumed additional processing time of a cache miss, relative to a hit, until it is known. */
+const PRESUMED_MISS_PENALTY = 1;
 
-/** What a choice of target depends on, besides the targets. */
+/** Criteria of one target selection. */
 export interface SelectionCriteria {
-  /** Names the object that the request is about; the same name prefers the same targets. */
+  /** Key of the requested object; equal keys prefer the same targets. */
   readonly key: string;
-  /** Regions whose targets may serve it; empty where any may. */
+  /** Regions that may serve the request; empty if any may. */
   readonly homeRegions: readonly string[];
-  /** Targets that were tried for this request already. */
+  /** Targets already tried for this request. */
   readonly tried: ReadonlySet<string>;
-  /** Most requests, running and waiting, that a target may have for each of its slots. */
+  /** Limit on requests, running and queued, per slot of a target. */
   readonly maxLoadPerSlot: number;
-  /** Whether its bytes make the way between regions dear: the own region comes first if it has room. */
+  /**
+   * Tells whether the request is expensive to transfer between regions, so that the own region is
+   * preferred if it has capacity.
+   */
   readonly prefersOwnRegion: boolean;
-  /** How long work on a known object takes; undefined before the first answer. */
+  /** Processing time of a cache hit; undefined before the first response. */
   readonly processingMilliseconds: number | undefined;
-  /** How much longer work on an unknown object takes; undefined while that is not known. */
+  /** Additional processing time of a cache miss; undefined while unknown. */
   readonly missPenaltyMilliseconds: number | undefined;
-  /** Whether it may leave its key's region because of a wait. */
+  /** Tells whether it may leave the region of its key to avoid waiting. */
   readonly mayOverflow: boolean;
 }
 
-/** What decides in which regions a request may be served. */
+/** Criteria that region placement depends on. */
 export type PlacementCriteria = Pick<SelectionCriteria, 'key' | 'homeRegions' | 'prefersOwnRegion'>;
 
 export interface TargetSelectorOptions {
-  /** Region of each failure domain. */
+  /** Maps a failure domain to its region. */
   readonly regionOf: (failureDomain: string) => string;
   /** Region of this entry host. */
   readonly ownRegion: string;
-  /** Whether a failure domain is being emptied. */
+  /** Tells whether a failure domain is being evacuated. */
   readonly isEvacuated: (failureDomain: string) => boolean;
   readonly placement: RegionPlacement;
-  /** The way to a target's failure domain and back, in milliseconds. */
+  /** Round-trip time to the failure domain of a target, in milliseconds. */
   readonly roundTripMilliseconds: (target: TargetState) => number;
   readonly disabledMechanisms: DisabledMechanisms;
 }
 
-/** A target that a request may go to, and when its answer is expected there. */
+/** Target that is eligible for a request, with its expected response time. */
 interface Candidate {
   readonly target: TargetState;
   readonly milliseconds: number;
-  /** Requests for each slot from which the target does not take it. */
-  readonly mostLoadPerSlot: number;
+  /** Load per slot from which the target is not selected. */
+  readonly maxLoadPerSlot: number;
 }
 
 /**
- * Chooses the target that is expected to answer first, by way, wait and work, among the few that
- * know the object or are to know it. Every entry host ranks a key's targets the same way, so that
- * they agree on these without a message.
+ * Selects the target with the shortest expected response time, from round trip, queueing and
+ * processing, among the few that have or should have the object cached. All entry hosts rank the
+ * targets of a key the same way, so that they agree on these without coordination.
  */
 export class TargetSelector {
   readonly #options: TargetSelectorOptions;
-  readonly #order: TargetRanking;
+  readonly #ranking: TargetRanking;
 
   constructor(options: TargetSelectorOptions) {
     this.#options = options;
-    this.#order = new TargetRanking((target) => this.#regionOf(target));
+    this.#ranking = new TargetRanking((target) => this.#regionOf(target));
   }
 
-  /** A target may be chosen from now on. */
+  /** Adds a target to the selection. */
   add(target: TargetState): void {
-    this.#order.add(target);
+    this.#ranking.add(target);
   }
 
-  /** A target is gone. */
+  /** Removes a target from the selection. */
   remove(target: TargetState): void {
-    this.#order.remove(target);
+    this.#ranking.remove(target);
   }
 
   /**
-   * The target to send a request to now, or undefined where none may take it.
+   * Selects the target for a request; undefined if none is eligible.
    *
-   * @param mayUseCold - asked before a target that has just started, and is slow, is chosen
+   * @param mayUseCold - called before a cold target is selected
    */
   select(
-    demand: SelectionCriteria,
+    criteria: SelectionCriteria,
     now: number,
     mayUseCold: (target: TargetState) => boolean,
   ): TargetState | undefined {
-    const regions = this.regionsFor(demand);
-    const ranks = this.#order.ranksOf(demand.key);
-    const candidates = this.#candidates(demand, regions, ranks, now);
+    const regions = this.regionsFor(criteria);
+    const ranks = this.#ranking.ranksOf(criteria.key);
+    const candidates = this.#candidates(criteria, regions, ranks, now);
     if (candidates.length > 0) {
-      return this.#soonest(candidates, now) ?? this.#cold(demand, regions, now, mayUseCold);
+      return this.#soonest(candidates, now) ?? this.#cold(criteria, regions, now, mayUseCold);
     }
-    const all = this.#order.allRanksOf(demand.key);
-    const more = this.#candidates(demand, regions, all, now);
+    const all = this.#ranking.allRanksOf(criteria.key);
+    const more = this.#candidates(criteria, regions, all, now);
     return (
       this.#soonest(more, now) ??
-      this.#cold(demand, regions, now, mayUseCold) ??
-      this.#leastLoadedOfAny(demand, regions, now)
+      this.#cold(criteria, regions, now, mayUseCold) ??
+      this.#leastLoadedOfAny(criteria, regions, now)
     );
   }
 
-  /** Regions in the order in which they are preferred. */
-  regionsFor({ key, homeRegions, prefersOwnRegion: staysNear }: PlacementCriteria): string[] {
+  /** Returns the allowed regions in order of preference. */
+  regionsFor({ key, homeRegions, prefersOwnRegion }: PlacementCriteria): string[] {
     const { placement, ownRegion } = this.#options;
     const order = placement.regionOrder(key);
     const allowed = order.filter(
       (region) => homeRegions.length === 0 || homeRegions.includes(region),
     );
-    return staysNear && allowed.includes(ownRegion) && placement.prefersLocal(ownRegion, key)
+    return prefersOwnRegion && allowed.includes(ownRegion) && placement.prefersLocal(ownRegion, key)
       ? [ownRegion, ...allowed.filter((region) => region !== ownRegion)]
       : allowed;
   }
 
   /**
-   * The first sound targets of the preferred region, and the first one of each other region where
-   * the object is known. The others are tried only where the preferred region has none.
+   * Returns the first healthy targets of the preferred region, and the first one of each other
+   * region that serves the key for its own callers. Other targets are candidates only if the
+   * preferred region has none.
    */
   #candidates(
-    demand: SelectionCriteria,
+    criteria: SelectionCriteria,
     regions: readonly string[],
     ranks: RankedTargets,
     now: number,
   ): Candidate[] {
     const candidates: Candidate[] = [];
     for (const region of regions) {
-      const sound = (ranks.get(region) ?? []).filter((target) =>
-        this.#isSound(target, demand, now),
+      const healthy = (ranks.get(region) ?? []).filter((target) =>
+        this.#isHealthy(target, criteria, now),
       );
       const isPreferred = candidates.length === 0;
-      const copies = this.#copies(isPreferred, demand);
-      for (const [place, target] of sound.slice(0, copies).entries()) {
-        const isPresumed = place === 0 && (isPreferred || this.#isKept(region, demand));
-        if (isPreferred || isPresumed) {
-          candidates.push(this.#candidate(target, demand, isPresumed, now));
+      const replicas = this.#replicas(isPreferred, criteria);
+      for (const [rank, target] of healthy.slice(0, replicas).entries()) {
+        const isExpectedHit = rank === 0 && (isPreferred || this.#isServedBy(region, criteria));
+        if (isPreferred || isExpectedHit) {
+          candidates.push(this.#candidate(target, criteria, isExpectedHit, now));
         }
       }
     }
     return candidates;
   }
 
-  #copies(isPreferred: boolean, { mayOverflow }: SelectionCriteria): number {
+  #replicas(isPreferred: boolean, { mayOverflow }: SelectionCriteria): number {
     if (isPreferred) {
-      return this.#options.disabledMechanisms.has('second-copy') ? 1 : COPIES;
+      return this.#options.disabledMechanisms.has('second-copy') ? 1 : REPLICAS;
     }
     return mayOverflow && !this.#options.disabledMechanisms.has('other-regions') ? 1 : 0;
   }
 
-  /** Whether a region serves the key for its own callers, so that it is known there. */
-  #isKept(region: string, { key }: SelectionCriteria): boolean {
+  /**
+   * Tells whether a region serves the key for its own callers, and therefore has the object cached.
+   */
+  #isServedBy(region: string, { key }: SelectionCriteria): boolean {
     return this.#options.placement.isServedLocally(region, key);
   }
 
-  /** When an answer is expected: way, wait for a slot, and work, longer on an unknown object. */
+  /** Estimates the response time from round trip, queueing and processing. */
   #candidate(
     target: TargetState,
-    demand: SelectionCriteria,
-    isPresumed: boolean,
+    criteria: SelectionCriteria,
+    isExpectedHit: boolean,
     now: number,
   ): Candidate {
-    const { processingMilliseconds: work = 1, key } = demand;
-    const extra = demand.missPenaltyMilliseconds ?? PRESUMED_EXTRA * work;
-    const isKnown = isPresumed || target.hasCached(key, now);
+    const { processingMilliseconds: processing = 1, key } = criteria;
+    const missPenalty = criteria.missPenaltyMilliseconds ?? PRESUMED_MISS_PENALTY * processing;
+    const isHit = isExpectedHit || target.hasCached(key, now);
     const { slots } = target.record;
-    const wait = (work / slots) * Math.max(0, this.#load(target, now) + 1 - slots);
-    const price = isKnown ? 0 : extra;
-    const way = this.#options.roundTripMilliseconds(target);
+    const wait = (processing / slots) * Math.max(0, this.#load(target, now) + 1 - slots);
+    const penalty = isHit ? 0 : missPenalty;
+    const roundTrip = this.#options.roundTripMilliseconds(target);
     return {
       target,
-      milliseconds: way + wait + work + price,
-      mostLoadPerSlot: isKnown ? demand.maxLoadPerSlot : SPILL_LOAD_PER_SLOT,
+      milliseconds: roundTrip + wait + processing + penalty,
+      maxLoadPerSlot: isHit ? criteria.maxLoadPerSlot : MAX_MISS_LOAD_PER_SLOT,
     };
   }
 
   #soonest(candidates: readonly Candidate[], now: number): TargetState | undefined {
     let best: Candidate | undefined;
     for (const candidate of candidates) {
-      const { target, milliseconds, mostLoadPerSlot } = candidate;
-      const hasRoom = this.#load(target, now) < mostLoadPerSlot * target.record.slots;
+      const { target, milliseconds, maxLoadPerSlot } = candidate;
+      const hasRoom = this.#load(target, now) < maxLoadPerSlot * target.record.slots;
       if (hasRoom && (best === undefined || milliseconds < best.milliseconds)) {
         best = candidate;
       }
@@ -192,48 +200,50 @@
   }
 
   #cold(
-    demand: SelectionCriteria,
+    criteria: SelectionCriteria,
     regions: readonly string[],
     now: number,
     mayUseCold: (target: TargetState) => boolean,
   ): TargetState | undefined {
     const isCold = (target: TargetState): boolean =>
-      this.#isUsable(target, demand, now) && target.isCold(now) && !target.isEjected(now);
-    return this.#inOrder(demand, regions).find((target) => isCold(target) && mayUseCold(target));
+      this.#isUsable(target, criteria, now) && target.isCold(now) && !target.isEjected(now);
+    return this.#inOrder(criteria, regions).find((target) => isCold(target) && mayUseCold(target));
   }
 
-  /** Where all fail, one of them is tried: most of a service failing is rather a fault elsewhere. */
+  /**
+   * Selects among failing targets if all fail: the cause is then more likely elsewhere, and
+   * ejection would lose the whole service.
+   */
   #leastLoadedOfAny(
-    demand: SelectionCriteria,
+    criteria: SelectionCriteria,
     regions: readonly string[],
     now: number,
   ): TargetState | undefined {
-    const failing = this.#inOrder(demand, regions).filter(
-      (target) => this.#isUsable(target, demand, now) && !target.isCold(now),
+    const failing = this.#inOrder(criteria, regions).filter(
+      (target) => this.#isUsable(target, criteria, now) && !target.isCold(now),
     );
     return this.#soonest(
       failing.map((target) => ({
         target,
         milliseconds: this.#load(target, now),
-        mostLoadPerSlot: demand.maxLoadPerSlot,
+        maxLoadPerSlot: criteria.maxLoadPerSlot,
       })),
       now,
     );
   }
 
   #inOrder({ key }: SelectionCriteria, regions: readonly string[]): TargetState[] {
-    const ranks = this.#order.allRanksOf(key);
+    const ranks = this.#ranking.allRanksOf(key);
     return regions.flatMap((region) => ranks.get(region) ?? []);
   }
 
-  #isSound(target: TargetState, demand: SelectionCriteria, now: number): boolean {
-    return this.#isUsable(target, demand, now) && !target.isCold(now) && !target.isEjected(now);
+  #isHealthy(target: TargetState, criteria: SelectionCriteria, now: number): boolean {
+    return this.#isUsable(target, criteria, now) && !target.isCold(now) && !target.isEjected(now);
   }
 
   /**
-   * Every way to a target leads through here: the first choice, a retry, cold targets, and the choice where all fail. A
-   * target that asked for rest is in none of them, unlike one that failed: up to 17 requests of one host reached it in
-   * a rest of 3 s before, now none (measured on emulated fleets of 10 to 65 hosts).
+   * Excludes targets that must not get the request in any case: on the first attempt, on retries,
+   * as cold targets, and if all fail. Unlike an ejected target, a resting one is never used.
    */
   #isUsable(target: TargetState, { tried }: SelectionCriteria, now: number): boolean {
     return (
--- a/packages/routing/src/target-signals.ts
+++ b/packages/routing/src/target-signals.ts
@@ -1,37 +1,37 @@
 import { AdvertisedLimit } from './limits/advertised-limit.js';
 
 /**
- * Longest that a target is left alone at its word, in milliseconds; then it may be asked again, and says so again if it still wants
- * nothing. What asks for longer (a year, a date in seconds) is a mistake at the target, which would lose it until its next start.
+ * Upper bound of a rest. Longer requests are treated as mistakes of the target, which would
+ * otherwise get no requests until its next start; it can ask again.
  */
-const LONGEST_REST_MILLISECONDS = 3_600_000;
+const MAX_REST_MILLISECONDS = 3_600_000;
 
 /**
- * What a start of a target has said of itself in its answers to this host. No record takes it back that was written before. A later
- * answer that says less takes back its limit alone; that it leaves, and its rest, hold all the same.
+ * Signals that an incarnation of a target sent in its responses to this host. Records do not revoke
+ * them. A later response without a signal revokes only the limit, not leaving or a rest.
  */
 export class TargetSignals {
-  /** How many requests it takes from all hosts together. */
+  /** Requests per second that it accepts from all hosts together. */
   readonly limit = new AdvertisedLimit();
   #isLeaving = false;
   #restsUntil = -Infinity;
 
-  /** Whether it said that it leaves. */
+  /** Tells whether it announced that it leaves. */
   get isLeaving(): boolean {
     return this.#isLeaving;
   }
 
-  /** When it may be sent requests again, in monotonic milliseconds; in the past where it may now. */
+  /** End of the rest in monotonic milliseconds; in the past if it does not rest. */
   get restsUntil(): number {
     return this.#restsUntil;
   }
 
-  /** Whether it asked this host for rest that is not over. */
+  /** Tells whether it asked this host for a rest that is not over. */
   isResting(now: number): boolean {
     return now < this.#restsUntil;
   }
 
-  /** @returns whether that is news */
+  /** @returns whether this is the first announcement */
   recordLeaving(): boolean {
     const isNews = !this.#isLeaving;
     this.#isLeaving = true;
@@ -39,14 +39,14 @@
   }
 
   /**
-   * It wants no requests of this host. Asked again, the later end holds.
+   * Records that it asked this host for a rest. Of several, the latest end applies.
    *
    * @param milliseconds - not negative
-   * @returns whether a rest begins
+   * @returns whether a new rest begins
    */
   recordRest(milliseconds: number, now: number): boolean {
     const isNews = milliseconds > 0 && !this.isResting(now);
-    const rest = Math.min(milliseconds, LONGEST_REST_MILLISECONDS);
+    const rest = Math.min(milliseconds, MAX_REST_MILLISECONDS);
     this.#restsUntil = Math.max(this.#restsUntil, now + rest);
     return isNews;
   }
--- a/packages/routing/src/target-state.ts
+++ b/packages/routing/src/target-state.ts
@@ -5,45 +5,48 @@
 import { incarnationId } from './target-incarnation.js';
 import { TargetSignals } from './target-signals.js';
 
-/** How long a load that the target itself told is taken as a lower bound of the present one. */
-const LOAD_REPORT_LIFE_MILLISECONDS = 150;
-/** A first failure keeps a target out of choice this long; each further one doubles it. */
+/** Time for which a load reported by a target counts as a lower bound of its current load. */
+const LOAD_REPORT_TTL_MILLISECONDS = 150;
+/** Ejection time after the first failure; doubles with each further one. */
 const FIRST_EJECTION_MILLISECONDS = 400;
-/** Longest that a failing target is left without a try. */
-const LONGEST_EJECTION_MILLISECONDS = 3_000;
-/** How long an object is taken to be known at a target that worked on it. */
-const FAMILIAR_MILLISECONDS = 20_000;
-/** Objects that are remembered for each target; targets themselves hold some 25 to 50. */
-const MOST_FAMILIAR = 48;
-/** How long a target that refused for lack of room is left alone. */
-const SHED_HOLD_MILLISECONDS = 100;
-
-/** One target as this entry host sees it: what is recorded, what it tells, and how tries end. */
+/** Upper bound of the ejection time. */
+const MAX_EJECTION_MILLISECONDS = 3_000;
+/** Time for which an object is presumed to be in the cache of a target that processed it. */
+const CACHE_TTL_MILLISECONDS = 20_000;
+/** Limit on objects tracked for each target; targets cache about 25 to 50. */
+const MAX_CACHED_OBJECTS = 48;
+/** Ejection time of a target that shed a request. */
+const SHED_EJECTION_MILLISECONDS = 100;
+
+/**
+ * State of one target as seen by this entry host: its record, its signals, and the results of
+ * attempts.
+ */
 export class TargetState {
   record: TargetRecord;
-  /** Names this start of it, by which other hosts and later starts tell it apart. */
+  /** Identifies this incarnation to peers and against later incarnations. */
   readonly incarnationId: string;
-  /** By which keys rank it among the others; the same for all its starts. */
+  /** Hash that rendezvous ranking uses; the same for all incarnations. */
   readonly idHash: number;
-  /** Requests of this entry host at the target now. */
+  /** Requests of this entry host in flight at the target. */
   inFlight = 0;
-  /** Requests of the other entry hosts there, by host, as they reported last. */
+  /** Requests of peers in flight at the target, by host, as last reported. */
   readonly peersInFlight = new Map<string, number>();
-  /** What this start of it has said of itself in its answers. */
+  /** Signals that this incarnation sent in its responses. */
   readonly signals: TargetSignals;
-  /** When it last gave a usable answer. */
+  /** Time of the last usable response. */
   lastResponseAt = -Infinity;
-  /** When the target last worked on an object, by its key, the longest ago first. */
-  readonly #familiar = new Map<string, number>();
+  /** Time of the last response for each object by key, least recent first. */
+  readonly #cachedObjects = new Map<string, number>();
   #reportedLoad = 0;
   #reportedAt = -Infinity;
   #failures = 0;
   #ejectedUntil = -Infinity;
   #coldUntil = -Infinity;
-  /** Its record says that it leaves, or another target answers at its address. */
-  #isGoing = false;
+  /** Set when its record is draining or another target responds at its address. */
+  #isDraining = false;
 
-  /** @param word - what this start of it said before, where its record had gone meanwhile */
+  /** @param signals - signals of this incarnation before its record was removed */
   constructor(record: TargetRecord, now: number, word = new TargetSignals()) {
     this.record = record;
     this.signals = word;
@@ -57,31 +60,31 @@
   }
 
   /**
-   * Whether it wants no new work: by its own answer or its record, whichever said so first. A record that says ready
-   * does not take an answer back; it may have been written before.
+   * Tells whether the target accepts no new requests, by its responses or its record. A later
+   * record that says ready does not revoke it, since it may have been written earlier.
    */
   get leaving(): boolean {
-    return this.#isGoing || this.signals.isLeaving;
+    return this.#isDraining || this.signals.isLeaving;
   }
 
-  /** Another target answers at its address: this start of it is gone. */
+  /** Records that another target took over the address, so that this incarnation is gone. */
   recordReplaced(): void {
-    this.#isGoing = true;
+    this.#isDraining = true;
   }
 
-  /** Whether it asked this host for rest that is not over. */
-  isResting(now: number, leftOut: DisabledMechanisms = NO_DISABLED_MECHANISMS): boolean {
-    return this.signals.isResting(now) && !leftOut.has('rest');
+  /** Tells whether the target asked this host for a rest that is not over. */
+  isResting(now: number, disabled: DisabledMechanisms = NO_DISABLED_MECHANISMS): boolean {
+    return this.signals.isResting(now) && !disabled.has('rest');
   }
 
-  /** Takes over what is newly recorded. */
+  /** Applies a newer record. */
   update(record: TargetRecord, now: number): void {
     this.record = record;
-    this.#isGoing ||= record.state === 'draining';
+    this.#isDraining ||= record.state === 'draining';
     this.recordCold(record.coldMilliseconds, now);
   }
 
-  /** The target is slow for this much longer. */
+  /** Records the remaining duration of its cold start. */
   recordCold(milliseconds: number, now: number): void {
     if (milliseconds > 0) {
       this.#coldUntil = Math.max(this.#coldUntil, now + milliseconds);
@@ -96,56 +99,59 @@
     return now < this.#ejectedUntil;
   }
 
-  /** Requests that it probably has now, running and waiting. */
-  load(now: number, leftOut: DisabledMechanisms = NO_DISABLED_MECHANISMS): number {
+  /** Estimated current requests at the target, running and queued. */
+  load(now: number, disabled: DisabledMechanisms = NO_DISABLED_MECHANISMS): number {
     let counted = this.inFlight;
-    if (!leftOut.has('peer-load')) {
+    if (!disabled.has('peer-load')) {
       for (const count of this.peersInFlight.values()) {
         counted += count;
       }
     }
-    const isTold = !leftOut.has('told-load');
-    const isFresh = isTold && now - this.#reportedAt < LOAD_REPORT_LIFE_MILLISECONDS;
-    return isFresh ? Math.max(counted, this.#reportedLoad) : counted;
+    const usesReports = !disabled.has('told-load');
+    const isRecent = usesReports && now - this.#reportedAt < LOAD_REPORT_TTL_MILLISECONDS;
+    return isRecent ? Math.max(counted, this.#reportedLoad) : counted;
   }
 
-  /** @param load - requests running and waiting there, as the target told with an answer */
+  /** @param load - requests running and queued, as reported in a response */
   recordLoad(load: number, now: number): void {
     this.#reportedLoad = load;
     this.#reportedAt = now;
   }
 
-  /** Whether it worked on this object for this host not long ago. */
+  /**
+   * Tells whether the object is presumed to be in its cache, because it recently processed it for
+   * this host.
+   */
   hasCached(key: string, now: number): boolean {
-    return now - (this.#familiar.get(key) ?? -Infinity) < FAMILIAR_MILLISECONDS;
+    return now - (this.#cachedObjects.get(key) ?? -Infinity) < CACHE_TTL_MILLISECONDS;
   }
 
-  /** @param key - the object that it worked on */
+  /** @param key - key of the processed object */
   recordResponse(key: string, now: number): void {
     this.lastResponseAt = now;
-    this.#familiar.delete(key);
-    this.#familiar.set(key, now);
-    if (this.#familiar.size > MOST_FAMILIAR) {
-      this.#familiar.delete(this.#familiar.keys().next().value ?? '');
+    this.#cachedObjects.delete(key);
+    this.#cachedObjects.set(key, now);
+    if (this.#cachedObjects.size > MAX_CACHED_OBJECTS) {
+      this.#cachedObjects.delete(this.#cachedObjects.keys().next().value ?? '');
     }
     this.#failures = 0;
   }
 
   /**
-   * A try brought no usable answer.
+   * Records an attempt without a usable response.
    *
-   * @returns for how long the target is now kept out of choice, in milliseconds
+   * @returns the ejection time in milliseconds
    */
   recordFailure(now: number): number {
     const doubled = FIRST_EJECTION_MILLISECONDS * 2 ** this.#failures;
-    const milliseconds = Math.min(LONGEST_EJECTION_MILLISECONDS, doubled);
+    const milliseconds = Math.min(MAX_EJECTION_MILLISECONDS, doubled);
     this.#failures++;
     this.#ejectedUntil = now + milliseconds;
     return milliseconds;
   }
 
-  /** It refused for lack of room; others are better for a moment. */
+  /** Records that the target shed a request; it is briefly ejected. */
   recordShed(now: number): void {
-    this.#ejectedUntil = Math.max(this.#ejectedUntil, now + SHED_HOLD_MILLISECONDS);
+    this.#ejectedUntil = Math.max(this.#ejectedUntil, now + SHED_EJECTION_MILLISECONDS);
   }
 }
--- a/packages/routing/src/traffic-splitter.ts
+++ b/packages/routing/src/traffic-splitter.ts
@@ -1,25 +1,25 @@
 import { pickWeightedService } from './pick-weighted-service.js';
 import type { Route } from './route-configuration.js';
 
-/** How far a service's part of the recent requests may lie over its weight's. */
+/** Allowed excess of the recent share of a service over its weight. */
 const TOLERANCE = 0.04;
-/** Weight of what was counted before, at each request: some hundred requests are remembered. */
+/** Decay of earlier counts with each request; about a hundred requests are remembered. */
 const DECAY = 0.99;
-/** Requests before which parts say too little to correct them. */
-const FEWEST = 10;
+/** Minimum requests before shares are corrected. */
+const MIN_REQUESTS = 10;
 
-/** Recent requests of one split route, by service; older ones count for less. */
+/** Recent requests of one split route by service, with exponential decay. */
 class RecentShares {
   readonly #counts = new Map<string, number>();
   #total = 0;
 
-  /** How far the service's part, with one more request, would lie over this one. */
+  /** Excess of the share of the service over the given share, counting one more request. */
   excess(service: string, share: number): number {
     return ((this.#counts.get(service) ?? 0) + 1) / (this.#total + 1) - share;
   }
 
-  get isTelling(): boolean {
-    return this.#total >= FEWEST;
+  get hasEnoughRequests(): boolean {
+    return this.#total >= MIN_REQUESTS;
   }
 
   count(service: string): void {
@@ -32,9 +32,9 @@
 }
 
 /**
- * Divides the requests of split routes among services. A key stays with one service, where its
- * object is known, unless that service's part of the recent requests would grow past its weight's:
- * with few keys, some of them more asked for than others, keys alone do not make up the weights.
+ * Splits the requests of a route among services by weight. A key stays with one service, which has
+ * its object cached, unless the recent share of that service would exceed its weight: hashing few
+ * or unevenly popular keys alone does not match the weights.
  */
 export class TrafficSplitter {
   readonly #recent = new Map<string, RecentShares>();
@@ -52,7 +52,10 @@
   }
 }
 
-/** The preferred service, or the one furthest under its weight where the preferred has too much. */
+/**
+ * Returns the preferred service, or the one furthest below its weight if the preferred one exceeds
+ * its share.
+ */
 function correct({ shares }: Route, preferred: string, recent: RecentShares): string {
   const total = shares.reduce((sum, { weight }) => sum + weight, 0);
   const excesses = shares.map(({ service, weight }) => ({
@@ -60,7 +63,7 @@
     excess: recent.excess(service, weight / total),
   }));
   const own = excesses.find(({ service }) => service === preferred);
-  if (!recent.isTelling || own === undefined || own.excess <= TOLERANCE) {
+  if (!recent.hasEnoughRequests || own === undefined || own.excess <= TOLERANCE) {
     return preferred;
   }
   return excesses.reduce((least, other) => (other.excess < least.excess ? other : least)).service;
--- a/packages/utils/src/background-tasks.ts
+++ b/packages/utils/src/background-tasks.ts
@@ -1,7 +1,7 @@
 import type { Logger } from './logger.js';
 
 /**
- * The long-running tasks of one component. Each is an async function that watches the signal;
+ * Long-running tasks of one component. Each is an async function that watches the signal;
  * {@link stop} aborts the signal and waits for all of them.
  */
 export class BackgroundTasks {
@@ -18,7 +18,7 @@
     return this.#abort.signal.aborted;
   }
 
-  /** Starts a task. One that throws is logged by name; its fellows go on. */
+  /** Starts a task. A failure is logged with the task name and does not affect the other tasks. */
   start(name: string, task: (signal: AbortSignal) => Promise<void>): void {
     const running = task(this.signal).catch((error: unknown) => {
       if (!this.stopped) {
@@ -29,7 +29,7 @@
     void running.finally(() => this.#running.delete(running));
   }
 
-  /** Ends all tasks and waits until they have returned. */
+  /** Aborts the signal and waits until all tasks have returned. */
   async stop(): Promise<void> {
     this.#abort.abort();
     await Promise.all(this.#running);
--- a/packages/utils/src/cancellation.ts
+++ b/packages/utils/src/cancellation.ts
@@ -1,6 +1,6 @@
 /**
- * Whether one request has been given up, told without an abort signal until something asks for one:
- * making a signal costs more than all the rest of a short request's bookkeeping.
+ * Cancellation state of one request. Creates its abort signal lazily, because an `AbortController`
+ * is expensive relative to a short request.
  */
 export class Cancellation {
   #cancelled = false;
@@ -10,7 +10,7 @@
     return this.#cancelled;
   }
 
-  /** A signal that aborts with the cancellation. */
+  /** Signal that aborts on cancellation. */
   get signal(): AbortSignal {
     if (this.#controller === undefined) {
       this.#controller = new AbortController();
--- a/packages/utils/src/clock.ts
+++ b/packages/utils/src/clock.ts
@@ -1,19 +1,19 @@
 /**
- * Time as the decisions see it. Every lease, limit and time-out counts on the monotonic reading, so
- * that a step of the wall clock changes nothing.
+ * Source of time. Leases, limits and timeouts use the monotonic reading, so that steps of the wall
+ * clock do not affect them.
  */
 export interface Clock {
-  /** Milliseconds since an arbitrary start, never going back. */
+  /** Monotonic milliseconds since an arbitrary start. */
   now(): number;
-  /** Date for audit lines and logs only; no decision reads it. */
+  /** Wall-clock time, for audit entries and logs only. */
   wallTime(): Date;
-  /** Resolves after the given milliseconds, or at once when the signal aborts. */
+  /** Resolves after the given milliseconds, or as soon as the signal aborts. */
   sleep(milliseconds: number, signal?: AbortSignal): Promise<void>;
-  /** Calls back once after the given milliseconds; the function returned cancels it. */
+  /** Schedules one call of the callback; the returned function cancels it. */
   after(milliseconds: number, callback: () => void): () => void;
 }
 
-/** The process's own clock. */
+/** Clock of the running process. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
--- a/packages/utils/src/describe-parse-error.ts
+++ b/packages/utils/src/describe-parse-error.ts
@@ -1,7 +1,7 @@
 /**
- * What is said of a text that could not be read. The engine's own message quotes some characters of the
- * text, which may be a secret, such as the key of a client account.
+ * Describes a JSON parse error without the message of the engine, which quotes the input and could
+ * disclose secrets such as API keys.
  */
 export function describeParseError(error: unknown): string {
-  return error instanceof SyntaxError ? 'no whole JSON' : String(error);
+  return error instanceof SyntaxError ? 'invalid JSON' : String(error);
 }
--- a/packages/utils/src/first-occurrences.ts
+++ b/packages/utils/src/first-occurrences.ts
@@ -1,18 +1,21 @@
-/** Names that are kept; more would rather be a fault at who sends them. */
-const MOST_NAMES = 32;
-const LONGEST_NAME_CHARACTERS = 64;
+/** Limit on retained names. */
+const MAX_NAMES = 32;
+const MAX_NAME_LENGTH = 64;
 
-/** Tells of names that others choose which came for the first time, so that each is written down once, and not without end. */
+/**
+ * Detects the first occurrence of names from untrusted input, so that each is logged once. The
+ * number of names is bounded.
+ */
 export class FirstOccurrences {
   readonly #names = new Set<string>();
 
-  /** @returns the name as it is to be written, or undefined where it was mentioned before, or too many were */
+  /** @returns the truncated name, or undefined if it was seen before or the limit is reached */
   add(name: string): string | undefined {
-    const short = name.slice(0, LONGEST_NAME_CHARACTERS);
-    if (this.#names.size >= MOST_NAMES || this.#names.has(short)) {
+    const truncated = name.slice(0, MAX_NAME_LENGTH);
+    if (this.#names.size >= MAX_NAMES || this.#names.has(truncated)) {
       return undefined;
     }
-    this.#names.add(short);
-    return short;
+    this.#names.add(truncated);
+    return truncated;
   }
 }
--- a/packages/utils/src/format-table.ts
+++ b/packages/utils/src/format-table.ts
@@ -1,4 +1,4 @@
-/** Lines up cells in columns, the first row as a heading. */
+/** Formats rows as aligned columns; the first row is the heading. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
--- a/packages/utils/src/hash.ts
+++ b/packages/utils/src/hash.ts
@@ -1,14 +1,14 @@
 import { createHash } from 'node:crypto';
 import murmurhash from 'murmurhash';
 
-/** A 32-bit hash that is the same in every process and release. Not for secrets. */
+/** Stable 32-bit hash: the same in every process and release. Not cryptographic. */
 export function stableHash(text: string): number {
   return murmurhash.v3(text);
 }
 
 /**
- * A 32-bit hash of two hashes, the same in every process. Ranking hundreds of members for each of
- * hundreds of keys by the hash of a joined text takes 15 times as long in a fresh process.
+ * Combines two 32-bit hashes into one. Faster than hashing a concatenated string when many members
+ * are ranked for many keys.
  */
 export function combineHashes(one: number, other: number): number {
   let hash = one ^ Math.imul(other, 0x9e37_79b1);
@@ -18,9 +18,9 @@
 }
 
 /**
- * Ranks members for a key by rendezvous hashing, highest first. Every process that knows the same
- * members gets the same order without a word exchanged, and a member's coming or going moves only
- * the keys that it gains or loses.
+ * Ranks members for a key by rendezvous hashing, highest first. All processes with the same members
+ * compute the same order, and adding or removing a member moves only the keys that it gains or
+ * loses.
  */
 export function rendezvousRank<T>(
   key: string,
@@ -37,7 +37,7 @@
     .map((entry) => entry.member);
 }
 
-/** Hexadecimal SHA-256, for digests of documents and stored credentials. */
+/** Hexadecimal SHA-256 digest. */
 export function sha256(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
--- a/packages/utils/src/logger.ts
+++ b/packages/utils/src/logger.ts
@@ -1,6 +1,6 @@
 import winston from 'winston';
 
-/** What the packages need of a logger: a message and typed fields, written as one JSON line. */
+/** Structured logger: writes a message and typed fields as one JSON line. */
 export interface Logger {
   debug(message: string, fields?: Readonly<Record<string, unknown>>): void;
   info(message: string, fields?: Readonly<Record<string, unknown>>): void;
@@ -8,31 +8,30 @@
   error(message: string, fields?: Readonly<Record<string, unknown>>): void;
 }
 
-/** The least severe level that is still written. */
+/** Minimum severity that is written. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
 const LEVELS = ['debug', 'info', 'warn', 'error'];
 
 export interface LoggerOptions {
-  /** Where the lines go. */
+  /** Output stream. */
   readonly stream?: 'stdout' | 'stderr';
 }
 
-/** The symbol under which winston's transports look for the text of a line. */
-const TEXT = Symbol.for('message');
+/** Symbol under which winston transports read the formatted line. */
+const FORMATTED_LINE = Symbol.for('message');
 
 /**
- * Writes a line's fields as JSON with the time of day. Winston's own formats for the two sort the fields
- * and look for circular ones: 374 against 182 microseconds a line in a fresh process, where a request
- * takes some two milliseconds.
+ * Serializes fields as JSON with a timestamp. The built-in winston formats also sort fields and
+ * detect cycles, which is slower.
  */
 const jsonLine = winston.format((info) => {
   info.timestamp = new Date().toISOString();
-  info[TEXT] = JSON.stringify(info);
+  info[FORMATTED_LINE] = JSON.stringify(info);
   return info;
 });
 
-/** A winston logger that writes JSON lines, to standard error unless told otherwise. */
+/** Creates a winston logger that writes JSON lines, to standard error by default. */
 export function createLogger(
   level: LogLevel,
   defaultFields: Readonly<Record<string, unknown>> = {},
@@ -44,13 +43,13 @@
     defaultMeta: defaultFields,
     format: jsonLine(),
     transports: [
-      // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment -- winston's own transports are typed this way
+      // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment -- winston types its transports this way
       new winston.transports.Console({ stderrLevels: stream === 'stderr' ? LEVELS : [] }),
     ],
   });
 }
 
-/** A logger that writes nothing. */
+/** Logger that discards everything. */
 export const silentLogger: Logger = {
   debug: () => undefined,
   info: () => undefined,
--- a/packages/utils/src/moving-average.ts
+++ b/packages/utils/src/moving-average.ts
@@ -1,8 +1,8 @@
-/** An exponentially weighted moving average that starts at its first sample. */
+/** Exponentially weighted moving average, initialized with its first sample. */
 export class MovingAverage {
   #value: number | undefined;
 
-  /** @param weight - share of a new sample in the average, between 0 and 1 */
+  /** @param weight - weight of a new sample, between 0 and 1 */
   constructor(readonly weight: number) {}
 
   get value(): number | undefined {
--- a/packages/utils/src/random.ts
+++ b/packages/utils/src/random.ts
@@ -3,13 +3,13 @@
 
 const UNSIGNED_32_BIT_RANGE = 0x1_0000_0000;
 
-/** Random numbers for choices and jitter. Nothing secret is drawn from it. */
+/** Random number generator for load balancing and jitter. Not cryptographic. */
 export interface Random {
-  /** A number from 0 up to but not including 1. */
+  /** Number in [0, 1). */
   next(): number;
 }
 
-/** Random numbers that repeat for the same seed. */
+/** Deterministic generator for a given seed. */
 export class SeededRandom implements Random {
   readonly #generator: ReturnType<typeof xoroshiro128plus>;
 
@@ -22,22 +22,22 @@
   }
 }
 
-/** A generator seeded from the system's entropy, for a running daemon. */
+/** Creates a generator seeded from system entropy. */
 export function systemRandom(): Random {
   return new SeededRandom(randomBytes(4).readInt32LE());
 }
 
-/** A whole number from 0 up to but not including the limit. */
+/** Integer in [0, limit). */
 export function randomIndex(random: Random, limit: number): number {
   return Math.floor(random.next() * limit);
 }
 
-/** One item drawn evenly, or undefined from an empty list. */
+/** Uniformly chosen item, or undefined if the list is empty. */
 export function pickOne<T>(random: Random, items: readonly T[]): T | undefined {
   return items[randomIndex(random, items.length)];
 }
 
-/** A copy in random order (Fisher-Yates). */
+/** Shuffled copy (Fisher-Yates). */
 export function shuffled<T>(random: Random, items: readonly T[]): T[] {
   const copy = [...items];
   for (let last = copy.length - 1; last > 0; last--) {
@@ -49,7 +49,10 @@
   return copy;
 }
 
-/** A wait spread evenly over half to one and a half of its mean, so that peers do not fall in step. */
+/**
+ * Adds jitter to an interval: uniform between half and one and a half of its mean, so that peers do
+ * not synchronize.
+ */
 export function jittered(random: Random, mean: number): number {
   return mean * (0.5 + random.next());
 }
--- a/packages/utils/tests/describe-parse-error.test.ts
+++ b/packages/utils/tests/describe-parse-error.test.ts
@@ -1,24 +1,24 @@
 import { describe, expect, it } from 'vitest';
 import { describeParseError } from '../src/index.js';
 
-function failureOf(text: string): string {
+function describeErrorOf(text: string): string {
   try {
     JSON.parse(text);
-    return 'read';
+    return 'parsed';
   } catch (error) {
     return describeParseError(error);
   }
 }
 
-describe('parseFailure', () => {
+describe('describeParseError', () => {
   it.each(['{"keys":["secret-1","sec', '{"keys":[secret-1]}', '["secret-1"'])(
-    'quotes nothing of %s',
+    'does not quote the input %s',
     (text) => {
-      expect(failureOf(text)).toBe('no whole JSON');
+      expect(describeErrorOf(text)).toBe('invalid JSON');
     },
   );
 
-  it('passes on what else went wrong', () => {
+  it('describes other errors by their own message', () => {
     expect(describeParseError(new RangeError('out of range'))).toBe('RangeError: out of range');
   });
 });
