--- a/packages/routing/src/accounts/account-quota.ts
+++ b/packages/routing/src/accounts/account-quota.ts
@@ -3,112 +3,115 @@
 import { SlidingWindowCounter } from '../sliding-window-counter.js';
 import type { ClientAccount } from './client-account.js';
 
-/** How accounts' requests are counted, over all entry hosts together. */
+/** Accounting policy of quotas over all entry hosts together. */
 export interface QuotaPolicy {
   readonly windowMilliseconds: number;
-  /** Part of an account's requests in a window that may come on top before the bound is broken. */
+  /** Allowed overage as a fraction of the limit in a window. */
   readonly overage: number;
-  /** Requests in a window that may come on top of that. */
+  /** Additional requests allowed in a window. */
   readonly slack: number;
 }
 
-/** What is known here of one account at all other entry hosts. */
+/** Usage of one account at all other entry hosts, as known here. */
 export interface UsageElsewhere {
-  /** Requests that they let run in the last window. */
+  /** Requests that they admitted in the last window. */
   readonly used: number;
-  /** Requests a second that come to them. */
+  /** Requests per second that arrive there. */
   readonly demandPerSecond: number;
 }
 
-/** Why a request of an account may not run now, and when one may. */
+/** Refusal of a request over quota, with the time to retry. */
 export interface QuotaRefusal {
   readonly retryAfterSeconds: number;
   readonly limit: number;
   readonly usedHere: number;
-  /** What other hosts are known to have used. */
+  /** Reported usage of other hosts. */
   readonly usedElsewhere: number;
 }
 
-/** How much of the fleet is known here. */
+/** Visibility of the other hosts of the fleet. */
 export interface PeerVisibility {
-  /** Whether there is no other host. */
+  /** Tells whether this is the only host. */
   readonly isAlone: boolean;
-  /** How long ago the use of most other hosts was told last, in milliseconds. */
+  /** Age of the last reports of most other hosts, in milliseconds. */
   readonly peerReportAgeMilliseconds: number;
-  /** This host's part where it knows nothing of others; all such parts add up to less than one. */
+  /** Share of this host while isolated; the shares of all hosts add up to less than one. */
   readonly isolatedShare: number;
-  /** Part of the window of which nobody remembers what was used, from 0 to 1. */
+  /** Share of the window without usage data, from 0 to 1. */
   readonly unaccountedShare: number;
 }
 
 /**
- * What an account may use beyond its limit, as a part of the slack: it makes up for the window that is longer than
- * it must be. The rest, and the whole overage, is for messages under way: with this no window passed its bound in
- * 1,000 emulated series of kills, cuts, starts and rushes over 12 hosts.
+ * Fraction of the slack that may be used in addition to the limit; compensates for the window that
+ * is longer than necessary. The remaining slack and the overage cover reports in flight.
  */
-const USED_SHARE_OF_SLACK = 0.4;
-/** Time in which what one host lets run comes to be known to all: reports, two relays, digests. */
-const SPREAD_MILLISECONDS = 800;
-/** Age from which news counts as old: more than the time between two digests to a host with callers. */
+const SLACK_UTILIZATION = 0.4;
+/** Time until the usage of one host is known to all: reports, two relays, digests. */
+const PROPAGATION_MILLISECONDS = 800;
+/** Age from which reports are stale; longer than the digest interval for hosts with callers. */
 const STALE_MILLISECONDS = 500;
-/** Age from which a host takes itself to be cut off: more than the time between digests to any host. */
-const CUT_OFF_MILLISECONDS = 1_200;
-/** Part of the room that is left alone while nothing that ran in the window is remembered. */
-const CAUTION = 0.6;
-/** Part of its part of the room that a host takes on old news: others may not hear of it. */
-const STALE_PART = 0.15;
 /**
- * Part of what a window may have that one host lets run in the time that news takes to spread: where a flood comes to
- * many hosts that were at rest, each would let the whole limit run (39 requests at 3 hosts where 33 may). An account whose
- * callers all sit at one host may still have one and a half times its limit that way.
+ * Age from which a host considers itself isolated; longer than the digest interval for any host.
  */
-const LARGEST_TURN = 0.25;
-/** Requests that run on old news at any rate, so that callers who just came are not refused. */
-const RUNS_ON_STALE_NEWS = 2;
+const ISOLATION_MILLISECONDS = 1_200;
+/** Fraction of the remaining quota that is withheld while the whole window lacks usage data. */
+const UNACCOUNTED_RESERVE = 0.6;
+/** Fraction of its share of the remaining quota that a host uses on stale reports. */
+const STALE_SHARE = 0.15;
 /**
- * Buckets of the window. The oldest goes as a whole, so that the window is this much longer than it
- * must be: a fortieth, which costs as much of the limit at the most.
+ * Fraction of the limit that one host admits within the propagation time. Prevents many idle hosts
+ * from each admitting the whole limit in a surge.
+ */
+const MAX_BURST_SHARE = 0.25;
+/** Minimum number of requests admitted on stale reports, so that new callers are not refused. */
+const MIN_STALE_RUNS = 2;
+/**
+ * Buckets of the window. The oldest expires as a whole, so the window is longer than necessary by
+ * one bucket, at the cost of that fraction of the limit.
  */
 const BUCKETS = 40;
-/** Stretch over which a host takes the rate of its own callers. */
+/** Window over which a host measures the demand of its own callers. */
 const RATE_MILLISECONDS = 1_000;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Requests a second that are taken to be asked for at least, so that a first one has a part. */
-const LEAST_ASKED = 0.1;
-/** Room counts as ample from so many times what is asked for until all know of it. */
-const AMPLE = 1;
-const LONGEST_WAIT_SECONDS = 5;
+/** Minimum demand in requests per second, so that the first request has a share. */
+const MIN_DEMAND_PER_SECOND = 0.1;
+/**
+ * Ratio of remaining quota to the demand within the propagation time from which every request is
+ * admitted.
+ */
+const AMPLE_RATIO = 1;
+const MAX_WAIT_SECONDS = 5;
 
 /**
- * One account's use of its limit, as one host sees it. It counts exactly what it lets run itself and
- * hears some time later what others let run. While there is far more room than can be used until all
- * know of it, every request may run; near the limit each host takes, in the time that news takes to
- * spread, a part of the room that is left as large as its part of what is asked for. The parts add
- * up to the room, so that the limit is reached and not passed.
+ * Quota of one account as seen by one host. It counts its own admissions exactly and learns those
+ * of other hosts with a delay. While the remaining quota far exceeds what can be used within that
+ * delay, every request is admitted. Near the limit, each host admits a share of the remaining quota
+ * in proportion to its share of the demand. The shares add up to the remaining quota, so that the
+ * limit is reached and not exceeded.
  */
 export class AccountQuota {
   readonly #random: Random;
-  readonly #bound: QuotaPolicy;
-  /** Requests that this host let run. */
+  readonly #policy: QuotaPolicy;
+  /** Requests that this host admitted. */
   readonly #used: SlidingWindowCounter;
-  readonly #usedLately: SlidingWindowCounter;
-  readonly #asked: RequestRate;
+  readonly #usedRecently: SlidingWindowCounter;
+  readonly #demand: RequestRate;
   readonly #refused: SlidingWindowCounter;
   #account: ClientAccount;
-  /** What this host had used, and its part of what is asked for, when news of the others was fresh. */
-  #usedWhenHeard = 0;
-  #partWhenHeard = 0;
-  /** Requests that were to run since then. */
-  #runsSinceHeard = 0;
+  /** Usage and share of the demand of this host when reports were last fresh. */
+  #usedWhenFresh = 0;
+  #shareWhenFresh = 0;
+  /** Requests received since then. */
+  #runsSinceFresh = 0;
 
-  constructor(account: ClientAccount, clock: Clock, random: Random, bound: QuotaPolicy) {
+  constructor(account: ClientAccount, clock: Clock, random: Random, policy: QuotaPolicy) {
     this.#account = account;
     this.#random = random;
-    this.#bound = bound;
-    const covered = (bound.windowMilliseconds * BUCKETS) / (BUCKETS - 1);
-    this.#used = new SlidingWindowCounter(clock, covered, BUCKETS);
-    this.#usedLately = new SlidingWindowCounter(clock, SPREAD_MILLISECONDS);
-    this.#asked = new RequestRate(clock, RATE_MILLISECONDS);
+    this.#policy = policy;
+    const windowMilliseconds = (policy.windowMilliseconds * BUCKETS) / (BUCKETS - 1);
+    this.#used = new SlidingWindowCounter(clock, windowMilliseconds, BUCKETS);
+    this.#usedRecently = new SlidingWindowCounter(clock, PROPAGATION_MILLISECONDS);
+    this.#demand = new RequestRate(clock, RATE_MILLISECONDS);
     this.#refused = new SlidingWindowCounter(clock, RATE_MILLISECONDS);
   }
 
@@ -121,98 +124,106 @@
     return this.#used.total;
   }
 
-  /** Requests a second of this host's callers. */
+  /** Demand of the callers of this host in requests per second. */
   get demandPerSecond(): number {
-    return this.#asked.perSecond;
+    return this.#demand.perSecond;
   }
 
-  /** Requests that may run in a window, without what is allowed on top. */
+  /** Requests allowed in a window, without overage and slack. */
   get limit(): number {
     const { requestsPerSecond, burst } = this.#account;
-    const seconds = this.#bound.windowMilliseconds / MILLISECONDS_PER_SECOND;
+    const seconds = this.#policy.windowMilliseconds / MILLISECONDS_PER_SECOND;
     return requestsPerSecond * seconds + burst;
   }
 
   /**
-   * Lets a request run, or tells why not.
+   * Admits a request.
    *
-   * @returns undefined where it may run
+   * @returns undefined if admitted, or the refusal
    */
-  acquire(others: UsageElsewhere, fleet: PeerVisibility): QuotaRefusal | undefined {
-    this.#asked.record();
-    if (!this.#mayRun(others, fleet)) {
+  acquire(usageElsewhere: UsageElsewhere, visibility: PeerVisibility): QuotaRefusal | undefined {
+    this.#demand.record();
+    if (!this.#isWithinQuota(usageElsewhere, visibility)) {
       this.#refused.add();
       return {
-        retryAfterSeconds: this.#secondsUntilRoom(others),
+        retryAfterSeconds: this.#secondsUntilAdmission(usageElsewhere),
         limit: this.limit,
         usedHere: this.used,
-        usedElsewhere: others.used,
+        usedElsewhere: usageElsewhere.used,
       };
     }
     this.charge(1);
     return undefined;
   }
 
-  /** Counts further runs of a request that was let run, or that it did not run after all (-1). */
+  /** Counts further runs of an admitted request, or reverts one that did not run (-1). */
   charge(runs: number): void {
     this.#used.add(runs);
-    this.#usedLately.add(runs);
+    this.#usedRecently.add(runs);
   }
 
-  #mayRun(others: UsageElsewhere, fleet: PeerVisibility): boolean {
-    const most = this.#most - fleet.unaccountedShare * this.limit;
-    if (fleet.peerReportAgeMilliseconds > CUT_OFF_MILLISECONDS) {
-      return this.used + 1 <= Math.max(fleet.isolatedShare * most, this.#heldUse(fleet));
+  #isWithinQuota(usageElsewhere: UsageElsewhere, visibility: PeerVisibility): boolean {
+    const max = this.#max - visibility.unaccountedShare * this.limit;
+    if (visibility.peerReportAgeMilliseconds > ISOLATION_MILLISECONDS) {
+      return (
+        this.used + 1 <= Math.max(visibility.isolatedShare * max, this.#isolatedUsage(visibility))
+      );
     }
-    // Who has forgotten what ran knows as little of what is asked for elsewhere.
-    const certainty = 1 - CAUTION * fleet.unaccountedShare;
-    const room = certainty * (most - others.used - this.used);
-    const turn = Math.max(RUNS_ON_STALE_NEWS, LARGEST_TURN * most);
-    const isFlood = !fleet.isAlone && this.#usedLately.total + 1 > turn;
-    if (room < 1 || isFlood) {
+    // A host without usage data does not know the demand elsewhere either.
+    const certainty = 1 - UNACCOUNTED_RESERVE * visibility.unaccountedShare;
+    const remaining = certainty * (max - usageElsewhere.used - this.used);
+    const maxBurst = Math.max(MIN_STALE_RUNS, MAX_BURST_SHARE * max);
+    const isBurst = !visibility.isAlone && this.#usedRecently.total + 1 > maxBurst;
+    if (remaining < 1 || isBurst) {
       return false;
     }
-    if (fleet.peerReportAgeMilliseconds > STALE_MILLISECONDS) {
-      this.#runsSinceHeard++;
+    if (visibility.peerReportAgeMilliseconds > STALE_MILLISECONDS) {
+      this.#runsSinceFresh++;
       return (
-        this.#runsSinceHeard <=
-        Math.max(RUNS_ON_STALE_NEWS, STALE_PART * this.#partWhenHeard * room)
+        this.#runsSinceFresh <=
+        Math.max(MIN_STALE_RUNS, STALE_SHARE * this.#shareWhenFresh * remaining)
       );
     }
-    const own = Math.max(LEAST_ASKED, this.demandPerSecond);
-    const asked = others.demandPerSecond + own;
-    const part = own / asked;
-    this.#usedWhenHeard = this.used;
-    this.#partWhenHeard = part;
-    this.#runsSinceHeard = 0;
-    const askedMeanwhile = (asked * SPREAD_MILLISECONDS) / MILLISECONDS_PER_SECOND;
-    return room > AMPLE * askedMeanwhile || this.#isInPart(room, part);
+    const own = Math.max(MIN_DEMAND_PER_SECOND, this.demandPerSecond);
+    const demand = usageElsewhere.demandPerSecond + own;
+    const share = own / demand;
+    this.#usedWhenFresh = this.used;
+    this.#shareWhenFresh = share;
+    this.#runsSinceFresh = 0;
+    const expectedDemand = (demand * PROPAGATION_MILLISECONDS) / MILLISECONDS_PER_SECOND;
+    return remaining > AMPLE_RATIO * expectedDemand || this.#isWithinShare(remaining, share);
   }
 
   /**
-   * What a host may use that is cut off from the others: as much as when it was heard last, for as long as the
-   * others count with that (see {@link HeldCounts}).
+   * Usage that an isolated host may have: as much as when reports were last fresh, for as long as
+   * the others account for it (see {@link ReportedCounts}).
    */
-  #heldUse({ peerReportAgeMilliseconds: deafMilliseconds }: PeerVisibility): number {
-    const over = deafMilliseconds / this.#bound.windowMilliseconds - 1;
-    return this.#usedWhenHeard * Math.max(0, Math.min(1, 1 - over));
+  #isolatedUsage({ peerReportAgeMilliseconds }: PeerVisibility): number {
+    const over = peerReportAgeMilliseconds / this.#policy.windowMilliseconds - 1;
+    return this.#usedWhenFresh * Math.max(0, Math.min(1, 1 - over));
   }
 
-  /** Whether one more lies within this host's part; a part of a request is decided by chance. */
-  #isInPart(room: number, part: number): boolean {
-    const lately = this.#usedLately.total;
-    return this.#random.next() < part * (room + lately) - lately;
+  /**
+   * Tells whether one more request lies within the share of this host; fractions of a request are
+   * decided at random.
+   */
+  #isWithinShare(remaining: number, share: number): boolean {
+    const recent = this.#usedRecently.total;
+    return this.#random.next() < share * (remaining + recent) - recent;
   }
 
-  get #most(): number {
-    return this.limit + USED_SHARE_OF_SLACK * this.#bound.slack;
+  get #max(): number {
+    return this.limit + SLACK_UTILIZATION * this.#policy.slack;
   }
 
-  /** Room comes at the account's rate, and those that were refused lately come back for it first. */
-  #secondsUntilRoom(others: UsageElsewhere): number {
+  /**
+   * Estimates the time until a request is admitted: quota becomes available at the rate of the
+   * account, and recently refused callers retry first.
+   */
+  #secondsUntilAdmission(usageElsewhere: UsageElsewhere): number {
     const { requestsPerSecond } = this.#account;
-    const missing = 1 + others.used + this.#used.total - this.#most;
+    const missing = 1 + usageElsewhere.used + this.#used.total - this.#max;
     const waiting = Math.max(0, missing) + this.#refused.total;
-    return Math.min(LONGEST_WAIT_SECONDS, waiting / Math.max(1, requestsPerSecond));
+    return Math.min(MAX_WAIT_SECONDS, waiting / Math.max(1, requestsPerSecond));
   }
 }
--- a/packages/routing/src/accounts/account-quotas.ts
+++ b/packages/routing/src/accounts/account-quotas.ts
@@ -3,14 +3,14 @@
 import type { PeerVisibility, UsageElsewhere, QuotaPolicy, QuotaRefusal } from './account-quota.js';
 import type { ClientAccount } from './client-account.js';
 
-/** Requests by what they count for: an account, or a start of a target. */
+/** Request counts by account or by incarnation of a target. */
 export type CountsByName = Readonly<Record<string, number>>;
 
-/** One host's use of limits that all hosts share, as it tells others. */
+/** Usage of shared limits by one host, as reported to peers. */
 export interface UsageByName {
-  /** Requests that it let run in the last window. */
+  /** Requests admitted in the last window. */
   readonly used: CountsByName;
-  /** Requests a second that came to it. */
+  /** Requests received per second. */
   readonly demand: CountsByName;
 }
 
@@ -18,23 +18,23 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly bound: QuotaPolicy;
-  /** What is known here of an account at all other entry hosts. */
+  /** Usage of an account at all other entry hosts, as known here. */
   readonly usageElsewhere: (account: string) => UsageElsewhere;
   readonly visibility: () => PeerVisibility;
 }
 
-/** What each account uses of its limit at this host. */
+/** Quotas of all accounts at this host. */
 export class AccountQuotas {
   readonly #options: AccountQuotasOptions;
   readonly #quotas = new Map<string, AccountQuota>();
-  /** Accounts of which this host had requests lately: the others cost nothing to tell. */
+  /** Accounts with recent requests at this host; only these are reported. */
   readonly #active = new Set<string>();
 
   constructor(options: AccountQuotasOptions) {
     this.#options = options;
   }
 
-  /** Takes over the accounts of a configuration; what one has used stays. */
+  /** Applies the accounts of a configuration; usage is retained. */
   setAccounts(accounts: readonly ClientAccount[]): void {
     const { clock, random, bound } = this.#options;
     const names = new Set(accounts.map(({ name }) => name));
@@ -55,59 +55,59 @@
   }
 
   /**
-   * Lets a request of an account run, or tells why not.
+   * Admits a request of an account.
    *
-   * @returns undefined where it may run
+   * @returns undefined if admitted, or the refusal
    */
   acquire({ name, requestsPerSecond }: ClientAccount): QuotaRefusal | undefined {
     if (requestsPerSecond === 0) {
       return undefined;
     }
-    const { usageElsewhere: others, visibility: fleet } = this.#options;
+    const { usageElsewhere, visibility } = this.#options;
     this.#active.add(name);
-    return this.#quotas.get(name)?.acquire(others(name), fleet());
+    return this.#quotas.get(name)?.acquire(usageElsewhere(name), visibility());
   }
 
-  /** Counts in how often a request that was let run came to run. */
+  /** Records how often an admitted request ran. */
   recordRuns({ name, requestsPerSecond }: ClientAccount, runs: number): void {
     if (requestsPerSecond > 0 && runs !== 1) {
       this.#quotas.get(name)?.charge(runs - 1);
     }
   }
 
-  /** Whether any account has a limit. */
+  /** Tells whether any account has a limit. */
   get hasLimits(): boolean {
     return this.#quotas.size > 0;
   }
 
-  /** What an account may use in a window; undefined where nothing bounds it. */
+  /** Limit of an account per window; undefined if it is unlimited. */
   limitOf(account: string): number | undefined {
     return this.#quotas.get(account)?.limit;
   }
 
-  /** What an account used of it at this host. */
+  /** Usage of an account at this host in the current window. */
   usedBy(account: string): number | undefined {
     return this.#quotas.get(account)?.used;
   }
 
-  /** What this host has used and is asked for; accounts without any are left out. */
+  /** Usage and demand at this host; accounts without any are omitted. */
   get usage(): UsageByName {
     const used: Record<string, number> = {};
-    const asked: Record<string, number> = {};
+    const demand: Record<string, number> = {};
     for (const name of this.#active) {
       const quota = this.#quotas.get(name);
-      const ofWindow = quota?.used ?? 0;
-      const ofSecond = quota?.demandPerSecond ?? 0;
-      if (ofWindow > 0) {
-        used[name] = ofWindow;
+      const usedInWindow = quota?.used ?? 0;
+      const perSecond = quota?.demandPerSecond ?? 0;
+      if (usedInWindow > 0) {
+        used[name] = usedInWindow;
       }
-      if (ofSecond > 0) {
-        asked[name] = ofSecond;
+      if (perSecond > 0) {
+        demand[name] = perSecond;
       }
-      if (ofWindow <= 0 && ofSecond === 0) {
+      if (usedInWindow <= 0 && perSecond === 0) {
         this.#active.delete(name);
       }
     }
-    return { used, demand: asked };
+    return { used, demand };
   }
 }
--- a/packages/routing/src/accounts/account-table.ts
+++ b/packages/routing/src/accounts/account-table.ts
@@ -3,54 +3,54 @@
 import type { Route } from '../route-configuration.js';
 import type { ClientAccount } from './client-account.js';
 
-/** Why a caller may not use a route. */
+/** Reason why a caller is not admitted to a route. */
 export type AdmissionFailure = 'unknown-key' | 'no-common-region';
 
-/** A route as it binds one account's callers; anonymous callers have no account. */
+/** Route as it applies to the callers of one account; anonymous callers have none. */
 export interface AdmittedRoute {
   readonly route: Route;
   readonly account: ClientAccount | undefined;
 }
 
 /**
- * The client accounts of one configuration: who a key belongs to, and what a route is for that
- * account. Made once for each version; a request costs two look-ups.
+ * Client accounts of one configuration version: maps keys to accounts and derives the effective
+ * route of each account. A request costs two lookups.
  */
 export class AccountTable {
-  /** Largest rank number of any account's request. */
+  /** Largest effective priority number of any request; larger numbers are less urgent. */
   readonly lowestPriority: number;
-  readonly #accountOfKey = new Map<string, ClientAccount>();
+  readonly #accountByKey = new Map<string, ClientAccount>();
   readonly #routes = new Map<ClientAccount, Map<Route, Result<AdmittedRoute, AdmissionFailure>>>();
-  readonly #leastUrgentRoute: number;
-  readonly #mostUrgentAccount: number;
+  readonly #lowestRoutePriority: number;
+  readonly #highestAccountPriority: number;
 
-  /** @param leastUrgentRoute - largest priority number of all routes */
+  /** @param lowestRoutePriority - largest priority number of all routes */
   constructor(
     readonly accounts: readonly ClientAccount[],
-    leastUrgentRoute: number,
+    lowestRoutePriority: number,
   ) {
     const priorities = accounts.map(({ priority }) => priority);
-    this.#leastUrgentRoute = leastUrgentRoute;
-    this.#mostUrgentAccount = Math.min(...priorities);
+    this.#lowestRoutePriority = lowestRoutePriority;
+    this.#highestAccountPriority = Math.min(...priorities);
     this.lowestPriority =
       accounts.length === 0
-        ? leastUrgentRoute
-        : this.#rank(Math.max(...priorities), leastUrgentRoute);
+        ? lowestRoutePriority
+        : this.#combinePriorities(Math.max(...priorities), lowestRoutePriority);
     for (const account of accounts) {
       this.#routes.set(account, new Map());
       for (const key of account.keys) {
-        this.#accountOfKey.set(key, account);
+        this.#accountByKey.set(key, account);
       }
     }
   }
 
   /**
-   * What a caller may do on a route.
+   * Admits a caller to a route.
    *
-   * @param key - as the caller shows it; undefined where it shows none
+   * @param key - key presented by the caller; undefined if there is none
    */
   admit(route: Route, key: string | undefined): Result<AdmittedRoute, AdmissionFailure> {
-    const account = key === undefined ? undefined : this.#accountOfKey.get(key);
+    const account = key === undefined ? undefined : this.#accountByKey.get(key);
     if (account !== undefined) {
       return this.#routeOf(account, route);
     }
@@ -62,31 +62,34 @@
     if (known !== undefined) {
       return known;
     }
-    const made = this.#makeRoute(account, route);
-    this.#routes.get(account)?.set(route, made);
-    return made;
+    const admitted = this.#deriveRoute(account, route);
+    this.#routes.get(account)?.set(route, admitted);
+    return admitted;
   }
 
-  #makeRoute(account: ClientAccount, route: Route): Result<AdmittedRoute, AdmissionFailure> {
+  #deriveRoute(account: ClientAccount, route: Route): Result<AdmittedRoute, AdmissionFailure> {
     const homeRegions = commonRegions(route.homeRegions, account.homeRegions);
     if (homeRegions === undefined) {
       return Err('no-common-region');
     }
-    const priority = this.#rank(account.priority, route.priority);
+    const priority = this.#combinePriorities(account.priority, route.priority);
     return Ok({ route: { ...route, homeRegions, priority }, account });
   }
 
-  /** The account's priority decides, and among its equals the route's. */
-  #rank(ofAccount: number, ofRoute: number): number {
-    return (ofAccount - this.#mostUrgentAccount) * (this.#leastUrgentRoute + 1) + ofRoute;
+  /** Combines priorities: the account decides, then the route. */
+  #combinePriorities(accountPriority: number, routePriority: number): number {
+    return (
+      (accountPriority - this.#highestAccountPriority) * (this.#lowestRoutePriority + 1) +
+      routePriority
+    );
   }
 }
 
-/** Regions that both allow, empty where any may; undefined where there is none. */
-function commonRegions(one: readonly string[], other: readonly string[]): string[] | undefined {
-  if (one.length === 0 || other.length === 0) {
-    return [...one, ...other];
+/** Intersects home regions, where empty means any; undefined if none is common. */
+function commonRegions(a: readonly string[], b: readonly string[]): string[] | undefined {
+  if (a.length === 0 || b.length === 0) {
+    return [...a, ...b];
   }
-  const common = one.filter((region) => other.includes(region));
+  const common = a.filter((region) => b.includes(region));
   return common.length === 0 ? undefined : common;
 }
--- a/packages/routing/src/accounts/reported-counts.ts
+++ b/packages/routing/src/accounts/reported-counts.ts
@@ -2,32 +2,32 @@
 import type { CountsByName } from './account-quotas.js';
 
 /**
- * How far a count may fall at once before its source has rather forgotten: as many standard deviations of
- * arrivals by chance, and as many requests on top.
+ * Allowed drop of a count between reports, beyond which its source presumably lost its state:
+ * standard deviations of random arrivals, plus a constant.
  */
-const CHANCE_DEVIATIONS = 3;
-const CHANCE_REQUESTS = 2;
+const MAX_DEVIATIONS = 3;
+const MAX_DROPPED_REQUESTS = 2;
 
-/** What a source told before it forgot, and until when that is in the window. */
-interface Forgotten {
+/** Count that a source reported before it lost its state, and when it expires. */
+interface LostCount {
   readonly value: number;
   readonly until: number;
 }
 
-/** What one source told. */
+/** Reports of one source. */
 interface Source {
   counts: CountsByName;
-  readonly forgotten: Map<string, Forgotten>;
-  toldAt: number;
-  /** Its process has ended: nothing comes on top. */
+  readonly lost: Map<string, LostCount>;
+  reportedAt: number;
+  /** Set when its process ended, so that no more requests are added. */
   isEnded: boolean;
 }
 
 /**
- * Counts of a sliding window, as several sources tell them. What was counted leaves the window as it came,
- * so that a source that tells far less at once has forgotten, as when another process speaks for it. When in
- * the window its requests came nobody knows, so all of them count for a whole window more; so do those of a
- * source that has ended. One that falls silent may go on as before, and is taken to for one window.
+ * Counts of a sliding window as reported by several sources. Counts leave the window gradually, so
+ * a source that suddenly reports far less has lost its state, as after a restart. Since the times
+ * of the lost requests are unknown, they count for one more window, and so do those of a source
+ * that ended. A silent source is presumed to continue as before for one window.
  */
 export class ReportedCounts {
   readonly #clock: Clock;
@@ -39,29 +39,29 @@
     this.#windowMilliseconds = windowMilliseconds;
   }
 
-  record(name: string, told: CountsByName): void {
+  record(name: string, reported: CountsByName): void {
     const now = this.#clock.now();
     const source = this.#sources.get(name) ?? newSource(now);
     this.#sources.set(name, source);
     for (const account of Object.keys(source.counts)) {
-      const before = source.counts[account] ?? 0;
-      const least = before - CHANCE_DEVIATIONS * Math.sqrt(before) - CHANCE_REQUESTS;
-      if ((told[account] ?? 0) < least && !source.forgotten.has(account)) {
-        const until = source.toldAt + this.#windowMilliseconds;
-        source.forgotten.set(account, { value: before, until });
+      const previous = source.counts[account] ?? 0;
+      const min = previous - MAX_DEVIATIONS * Math.sqrt(previous) - MAX_DROPPED_REQUESTS;
+      if ((reported[account] ?? 0) < min && !source.lost.has(account)) {
+        const until = source.reportedAt + this.#windowMilliseconds;
+        source.lost.set(account, { value: previous, until });
       }
     }
-    source.counts = told;
-    source.toldAt = now;
+    source.counts = reported;
+    source.reportedAt = now;
     source.isEnded = false;
-    for (const [account, { value, until }] of source.forgotten) {
-      if (now >= until || (told[account] ?? 0) >= value) {
-        source.forgotten.delete(account);
+    for (const [account, { value, until }] of source.lost) {
+      if (now >= until || (reported[account] ?? 0) >= value) {
+        source.lost.delete(account);
       }
     }
   }
 
-  /** A source's process has ended: nothing comes on top of what it told last. */
+  /** Marks a source as ended: no requests are added to its last report. */
   markEnded(name: string): void {
     const source = this.#sources.get(name);
     if (source !== undefined) {
@@ -69,48 +69,48 @@
     }
   }
 
-  /** What a source told last of an account. */
+  /** Last reported count of a source for an account. */
   lastReported(name: string, account: string): number {
     return this.#sources.get(name)?.counts[account] ?? 0;
   }
 
-  /** What all sources of a kind tell, by account. */
-  sum(isCounted: (source: string) => boolean): Record<string, number> {
+  /** Sums the counts of the selected sources by account. */
+  sum(isSelected: (source: string) => boolean): Record<string, number> {
     const total: Record<string, number> = {};
     for (const [name, source] of this.#sources) {
-      if (isCounted(name)) {
-        const part = this.#partLeft(source);
+      if (isSelected(name)) {
+        const fraction = this.#remainingFraction(source);
         for (const account of accountsOf(source)) {
-          total[account] = (total[account] ?? 0) + part * countOf(source, account);
+          total[account] = (total[account] ?? 0) + fraction * countOf(source, account);
         }
       }
     }
     return total;
   }
 
-  /** What all sources of a kind tell of one account. */
-  of(account: string, isCounted: (source: string) => boolean): number {
+  /** Sums the counts of the selected sources for one account. */
+  of(account: string, isSelected: (source: string) => boolean): number {
     let total = 0;
     for (const [name, source] of this.#sources) {
       const value = countOf(source, account);
-      total += value > 0 && isCounted(name) ? value * this.#partLeft(source) : 0;
+      total += value > 0 && isSelected(name) ? value * this.#remainingFraction(source) : 0;
     }
     return total;
   }
 
-  /** To be called now and then: forgets sources that have been silent for two windows. */
+  /** Removes sources that were silent for two windows. Called periodically. */
   sweep(): void {
     const oldest = this.#clock.now() - 2 * this.#windowMilliseconds;
-    for (const [name, { toldAt }] of this.#sources) {
-      if (toldAt < oldest) {
+    for (const [name, { reportedAt }] of this.#sources) {
+      if (reportedAt < oldest) {
         this.#sources.delete(name);
       }
     }
   }
 
-  /** Part of what a source told last that still counts. */
-  #partLeft({ toldAt, isEnded }: Source): number {
-    const silent = (this.#clock.now() - toldAt) / this.#windowMilliseconds;
+  /** Fraction of the last report of a source that still counts. */
+  #remainingFraction({ reportedAt, isEnded }: Source): number {
+    const silent = (this.#clock.now() - reportedAt) / this.#windowMilliseconds;
     if (silent <= 1) {
       return 1;
     }
@@ -118,15 +118,15 @@
   }
 }
 
-function accountsOf({ counts, forgotten }: Source): Iterable<string> {
-  const told = Object.keys(counts);
-  return forgotten.size === 0 ? told : new Set([...told, ...forgotten.keys()]);
+function accountsOf({ counts, lost }: Source): Iterable<string> {
+  const reported = Object.keys(counts);
+  return lost.size === 0 ? reported : new Set([...reported, ...lost.keys()]);
 }
 
-function countOf({ counts, forgotten }: Source, account: string): number {
-  return Math.max(counts[account] ?? 0, forgotten.get(account)?.value ?? 0);
+function countOf({ counts, lost }: Source, account: string): number {
+  return Math.max(counts[account] ?? 0, lost.get(account)?.value ?? 0);
 }
 
 function newSource(now: number): Source {
-  return { counts: {}, forgotten: new Map(), toldAt: now, isEnded: false };
+  return { counts: {}, lost: new Map(), reportedAt: now, isEnded: false };
 }
--- a/packages/routing/src/accounts/unaccounted-share.ts
+++ b/packages/routing/src/accounts/unaccounted-share.ts
@@ -1,15 +1,16 @@
 /**
- * How much fuller the last part of a window may have been than the whole: callers that were kept waiting come
+ * Factor by which the end of a window may be busier than its average, since waiting callers arrive
  * at once.
  */
-const RUSH_AT_THE_END = 1.25;
+const SURGE_FACTOR = 1.25;
 
 /**
- * Part of its limit that an account may have used in the part of the window of which nobody remembers anything.
+ * Estimates the share of its limit that an account may have used in the part of the window without
+ * usage data.
  *
- * @param knownMilliseconds - how far back some host knows what ran
+ * @param knownMilliseconds - how far back some host has usage data
  */
 export function unaccountedShare(knownMilliseconds: number, windowMilliseconds: number): number {
-  const unknown = Math.max(0, 1 - knownMilliseconds / windowMilliseconds);
-  return Math.min(1, RUSH_AT_THE_END * unknown);
+  const missing = Math.max(0, 1 - knownMilliseconds / windowMilliseconds);
+  return Math.min(1, SURGE_FACTOR * missing);
 }
--- a/packages/routing/src/limits/adaptive-request-rate.ts
+++ b/packages/routing/src/limits/adaptive-request-rate.ts
@@ -1,17 +1,22 @@
 import type { Clock } from '@ferrylock/utils';
 
-/** Last requests that the rate is taken over: few, so that it follows callers who come or go at once. */
-const COUNTED = 8;
-/** Fewer requests than that are taken to have come in so long a time at least, in milliseconds. */
-const LEAST_MILLISECONDS = 4_000;
-/** Time without a request from which there are none, as so many of the times that were between them. */
-const QUIET_INTERVALS = 4;
+/**
+ * Number of recent requests that the rate is computed from; small, so that it follows changes
+ * quickly.
+ */
+const SAMPLES = 8;
+/** Minimum time span that fewer requests are spread over. */
+const MIN_SPAN_MILLISECONDS = 4_000;
+/** Idle time after which the rate is zero, as a multiple of the average interval. */
+const IDLE_INTERVALS = 4;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** How many requests come in a second, by the last few of them; the same for one in ten seconds and for hundreds in one. */
+/**
+ * Requests per second computed from the last few requests, so that it adapts to low and high rates.
+ */
 export class AdaptiveRequestRate {
   readonly #clock: Clock;
-  /** When the last requests came, the latest last. */
+  /** Times of the last requests, latest last. */
   readonly #times: number[] = [];
 
   constructor(clock: Clock) {
@@ -20,7 +25,7 @@
 
   record(): void {
     this.#times.push(this.#clock.now());
-    if (this.#times.length > COUNTED) {
+    if (this.#times.length > SAMPLES) {
       this.#times.shift();
     }
   }
@@ -32,11 +37,11 @@
     if (first === undefined || last === undefined) {
       return 0;
     }
-    const between = Math.max(LEAST_MILLISECONDS, last - first) / this.#times.length;
-    if (now - last > QUIET_INTERVALS * between) {
+    const interval = Math.max(MIN_SPAN_MILLISECONDS, last - first) / this.#times.length;
+    if (now - last > IDLE_INTERVALS * interval) {
       return 0;
     }
-    const least = this.#times.length < COUNTED ? LEAST_MILLISECONDS : 1;
-    return (this.#times.length * MILLISECONDS_PER_SECOND) / Math.max(least, now - first);
+    const minSpan = this.#times.length < SAMPLES ? MIN_SPAN_MILLISECONDS : 1;
+    return (this.#times.length * MILLISECONDS_PER_SECOND) / Math.max(minSpan, now - first);
   }
 }
--- a/packages/routing/src/limits/advertised-limit.ts
+++ b/packages/routing/src/limits/advertised-limit.ts
@@ -1,27 +1,31 @@
 /**
- * Least that a limit counts as, in requests a second. Only an answer can take a limit back, so that one that says that it takes
- * nothing is asked every ten seconds whether that still holds.
+ * Lower bound of a limit, in requests per second. Only a response can revoke a limit, so a target
+ * that accepts nothing still gets a request every ten seconds.
  */
-const LEAST_PER_SECOND = 0.1;
-/** A limit above this, in requests a second, is as good as this one, and can be reckoned with. */
-const MOST_PER_SECOND = 1e9;
+const MIN_PER_SECOND = 0.1;
+/** Upper bound of a limit, in requests per second. */
+const MAX_PER_SECOND = 1e9;
 /**
- * Words of the same start that were heard at two hosts within this time count as heard at once, in milliseconds: what a
- * word's age is told without, the way between hosts.
+ * Time within which limits that two hosts received from the same incarnation count as simultaneous;
+ * covers the transmission delay between hosts, which reported ages do not include.
  */
-const AT_ONCE_MILLISECONDS = 200;
+const SIMULTANEOUS_MILLISECONDS = 200;
 
-/** A limit as one host heard it. */
+/** Limit of a target as received by one host. */
 export interface ReceivedLimit {
-  /** Requests a second that the target takes from all hosts together; undefined where it named none. */
+  /**
+   * Requests per second that the target accepts from all hosts together; undefined if it advertises
+   * no limit.
+   */
   readonly perSecond: number | undefined;
-  /** Monotonic milliseconds. */
+  /** Time of receipt in monotonic milliseconds. */
   readonly receivedAt: number;
 }
 
 /**
- * The requests a second that a start of a target takes from all hosts together, by its answers. It holds until an answer to a
- * later request names another one, or none.
+ * Requests per second that an incarnation of a target accepts from all hosts together, as
+ * advertised in its responses. Applies until the response to a later request advertises another
+ * limit, or none.
  */
 export class AdvertisedLimit implements ReceivedLimit {
   #perSecond: number | undefined;
@@ -36,49 +40,50 @@
   }
 
   /**
-   * An answer begins. Answers overtake one another: one to a request that was sent before the last word was heard may be older
-   * than that, and only makes it stricter.
+   * Records the limit in a response. Responses may arrive out of order: one to a request sent
+   * before the current limit was received may be older, and can only lower the limit.
    *
-   * @param perSecond - undefined where the answer names no limit
-   * @returns whether that is news
+   * @param perSecond - undefined if the response advertises no limit
+   * @returns whether the limit changed
    */
   record(perSecond: number | undefined, { sentAt, now }: { sentAt: number; now: number }): boolean {
     if (perSecond === undefined && this.#perSecond === undefined) {
       return false;
     }
-    const named = inRange(perSecond);
-    return this.#take(sentAt < this.#receivedAt ? stricter(named, this.#perSecond) : named, now);
+    const limit = clamp(perSecond);
+    return this.#set(sentAt < this.#receivedAt ? stricter(limit, this.#perSecond) : limit, now);
   }
 
   /**
-   * Another host told what it heard. The newer word holds, and of words that were heard at once the stricter.
+   * Merges a limit that another host received. The newer one applies; of simultaneous ones, the
+   * stricter.
    *
-   * @returns whether that is news
+   * @returns whether the limit changed
    */
-  merge({ perSecond, receivedAt: heardAt }: ReceivedLimit): boolean {
-    if (heardAt < this.#receivedAt - AT_ONCE_MILLISECONDS) {
+  merge({ perSecond, receivedAt }: ReceivedLimit): boolean {
+    if (receivedAt < this.#receivedAt - SIMULTANEOUS_MILLISECONDS) {
       return false;
     }
-    const isNewer = heardAt > this.#receivedAt + AT_ONCE_MILLISECONDS;
-    const named = inRange(perSecond);
-    const held = isNewer ? named : stricter(named, this.#perSecond);
-    return this.#take(held, Math.max(heardAt, this.#receivedAt));
+    const isNewer = receivedAt > this.#receivedAt + SIMULTANEOUS_MILLISECONDS;
+    const limit = clamp(perSecond);
+    const merged = isNewer ? limit : stricter(limit, this.#perSecond);
+    return this.#set(merged, Math.max(receivedAt, this.#receivedAt));
   }
 
-  #take(perSecond: number | undefined, heardAt: number): boolean {
-    const isNews = perSecond !== this.#perSecond;
+  #set(perSecond: number | undefined, receivedAt: number): boolean {
+    const hasChanged = perSecond !== this.#perSecond;
     this.#perSecond = perSecond;
-    this.#receivedAt = heardAt;
-    return isNews;
+    this.#receivedAt = receivedAt;
+    return hasChanged;
   }
 }
 
-function inRange(perSecond: number | undefined): number | undefined {
+function clamp(perSecond: number | undefined): number | undefined {
   return perSecond === undefined
     ? undefined
-    : Math.min(MOST_PER_SECOND, Math.max(LEAST_PER_SECOND, perSecond));
+    : Math.min(MAX_PER_SECOND, Math.max(MIN_PER_SECOND, perSecond));
 }
 
-function stricter(one: number | undefined, other: number | undefined): number | undefined {
-  return one === undefined || other === undefined ? (one ?? other) : Math.min(one, other);
+function stricter(a: number | undefined, b: number | undefined): number | undefined {
+  return a === undefined || b === undefined ? (a ?? b) : Math.min(a, b);
 }
--- a/packages/routing/src/limits/limit-share.ts
+++ b/packages/routing/src/limits/limit-share.ts
@@ -3,68 +3,77 @@
 import { SlidingWindowCounter } from '../sliding-window-counter.js';
 import { AdaptiveRequestRate } from './adaptive-request-rate.js';
 
-/** Stretch in which no more is to reach a target than it named, in milliseconds. */
+/** Window in which a target gets no more requests than its limit allows. */
 export const LIMIT_WINDOW_MILLISECONDS = 4_000;
 const WINDOW_SECONDS = LIMIT_WINDOW_MILLISECONDS / 1_000;
 const BUCKETS = 80;
-/** Time in which what one host tells comes to be known to all. */
-const SPREAD_MILLISECONDS = 600;
-/** Part of the room in a window that is taken up in a second, beside what the limit brings in it. */
+/** Time until a report of one host has reached all others. */
+const PROPAGATION_MILLISECONDS = 600;
+/**
+ * Share of the unused capacity of a window that may be used per second, in addition to the limit.
+ */
 const CATCH_UP_PER_SECOND = 1;
-/** Requests that a host may save up, as time at its rate: callers do not come evenly. */
-const SAVED_SECONDS = 0.2;
-/** Age of news on average. */
-const UNHEARD_MILLISECONDS = 500;
-/** How many times the room may be asked for in that time before chance decides. */
-const ASKED_PER_ROOM = 1.5;
-/** Longest time that refused callers are spread over. */
-const LONGEST_SPREAD_MILLISECONDS = 4_000;
+/** Burst of a host, as time at its rate; callers do not arrive evenly. */
+const BURST_SECONDS = 0.2;
+/** Average age of reports. */
+const AVERAGE_REPORT_AGE_MILLISECONDS = 500;
+/**
+ * Ratio of demand during that time to remaining capacity, above which requests are admitted at
+ * random.
+ */
+const MAX_DEMAND_RATIO = 1.5;
+/** Limit on the time over which retries of refused callers are spread. */
+const MAX_RETRY_SPREAD_MILLISECONDS = 4_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What one host knows of a target's limit when a request comes. */
+/** View that one host has of the limit of a target. */
 export interface LimitView {
-  /** All other hosts, as told last. */
+  /** Usage of all other hosts, as last reported. */
   readonly usageElsewhere: UsageElsewhere;
-  /** Part of the registered hosts, this one included, that is heard: the others may use as much of the limit unseen. */
+  /**
+   * Fraction of the registered hosts, including this one, whose reports arrive. The others may use
+   * their share of the limit unseen.
+   */
   readonly visibleHostShare: number;
   readonly hosts: number;
-  /** This host's place among all hosts for this target, from 0; all hosts come to the same order. */
+  /** Rank of this host among all hosts for this target, from 0; the same order on all hosts. */
   readonly place: () => number;
 }
 
-/** What a host told of what its callers want. */
-interface ToldAsked {
+/** Demand of the callers of a host, as reported. */
+interface ReportedDemand {
   readonly at: number;
   readonly perSecond: number;
 }
 
 /**
- * One host's part of the limit that a target named for all hosts together. It is as large as its part of what all hosts' callers
- * want of the target, but no larger than others know by now: what it told itself that short a time ago counts for nothing,
- * so that the parts of all hosts add up to the limit also while callers move or come in a rush. Requests that are missing
- * in the last window, as others tell, are caught up; none is sent that would be too many in it.
+ * Share of one host in the limit that a target advertises for all hosts together. The share follows
+ * the fraction of the total demand that arrives at this host, but only as far as its reports have
+ * reached the other hosts, so that all shares add up to the limit even while demand moves or
+ * surges. Unused capacity of the last window is caught up, and no request is admitted that would
+ * exceed the limit in the window.
  */
 export class LimitShare {
   perSecond: number;
   readonly #clock: Clock;
   readonly #random: Random;
   readonly #used: SlidingWindowCounter;
-  readonly #asked: AdaptiveRequestRate;
+  readonly #demand: AdaptiveRequestRate;
   readonly #refused: SlidingWindowCounter;
-  #told: ToldAsked[] = [];
-  /** Requests that may be sent, in parts of one; below zero after one that was sent ahead by chance. */
-  #saved = 0;
-  #reckonedAt: number;
+  #reports: ReportedDemand[] = [];
+  /** Tokens, in fractions of a request; negative after a request was admitted at random. */
+  #tokens = 0;
+  #refilledAt: number;
 
   constructor(clock: Clock, random: Random, perSecond: number) {
     this.#clock = clock;
     this.#random = random;
     this.perSecond = perSecond;
-    const covered = (LIMIT_WINDOW_MILLISECONDS * BUCKETS) / (BUCKETS - 1);
-    this.#used = new SlidingWindowCounter(clock, covered, BUCKETS);
-    this.#asked = new AdaptiveRequestRate(clock);
-    this.#refused = new SlidingWindowCounter(clock, SPREAD_MILLISECONDS);
-    this.#reckonedAt = clock.now();
+    const windowMilliseconds = (LIMIT_WINDOW_MILLISECONDS * BUCKETS) / (BUCKETS - 1);
+    this.#used = new SlidingWindowCounter(clock, windowMilliseconds, BUCKETS);
+    this.#demand = new AdaptiveRequestRate(clock);
+    this.#refused = new SlidingWindowCounter(clock, PROPAGATION_MILLISECONDS);
+    this.#refilledAt = clock.now();
   }
 
   /** Requests of this host in the last window. */
@@ -72,111 +81,119 @@
     return this.#used.total;
   }
 
-  /** Requests a second that this host would send, were there no limit. */
+  /** Demand at this host in requests per second, regardless of the limit. */
   get demandPerSecond(): number {
-    return this.#asked.perSecond;
+    return this.#demand.perSecond;
   }
 
-  /** What is told to others now. */
-  report(sight: LimitView): UsageElsewhere {
-    this.#reckon(sight);
+  /** Returns the usage to report to peers now. */
+  report(view: LimitView): UsageElsewhere {
+    this.#refill(view);
     const at = this.#clock.now();
     const perSecond = this.demandPerSecond;
-    this.#told.push({ at, perSecond });
-    const firstKept = this.#told.findLastIndex((told) => told.at <= at - SPREAD_MILLISECONDS);
-    this.#told.splice(0, Math.max(0, firstKept));
+    this.#reports.push({ at, perSecond });
+    const firstKept = this.#reports.findLastIndex(
+      (report) => report.at <= at - PROPAGATION_MILLISECONDS,
+    );
+    this.#reports.splice(0, Math.max(0, firstKept));
     return { used: this.used, demandPerSecond: perSecond };
   }
 
-  /** Lets a request be sent, or does not. */
-  tryAcquire(sight: LimitView): boolean {
-    this.#reckon(sight);
-    this.#asked.record();
-    // By chance, since many hosts whose parts are far below one request would else wait to have saved up one each.
-    if (this.#random.next() >= this.#saved || !this.#isInRoom(sight)) {
+  /** Admits a request if the share allows it. */
+  tryAcquire(view: LimitView): boolean {
+    this.#refill(view);
+    this.#demand.record();
+    // Random admission: hosts with shares far below one request would otherwise wait until each has
+    // saved a whole one.
+    if (this.#random.next() >= this.#tokens || !this.#hasCapacity(view)) {
       this.#refused.add();
       return false;
     }
-    this.#saved--;
+    this.#tokens--;
     this.#used.add();
     return true;
   }
 
-  /** A request that was let be sent was not. */
+  /** Undoes the admission of a request that was not sent. */
   release(): void {
-    this.#saved++;
+    this.#tokens++;
     this.#used.add(-1);
   }
 
-  /** Requests a second that this host may send. */
-  ratePerSecond(sight: LimitView): number {
-    const limit = this.perSecond * sight.visibleHostShare;
-    const pool = limit + CATCH_UP_PER_SECOND * Math.max(0, this.#room(sight));
-    const { demandPerSecond: askedPerSecond } = sight.usageElsewhere;
-    const claim = sight.hosts === 1 ? this.demandPerSecond : this.#claim;
-    const wanted = Math.min(1, (askedPerSecond + claim) / limit);
-    const byAsked = claim === 0 ? 0 : (wanted * claim) / (claim + askedPerSecond);
-    return pool * (byAsked + (1 - wanted) * this.#shareUnasked(sight, (1 - wanted) * limit));
+  /** Requests per second that this host may send. */
+  ratePerSecond(view: LimitView): number {
+    const limit = this.perSecond * view.visibleHostShare;
+    const available = limit + CATCH_UP_PER_SECOND * Math.max(0, this.#capacity(view));
+    const { demandPerSecond: othersPerSecond } = view.usageElsewhere;
+    const claim = view.hosts === 1 ? this.demandPerSecond : this.#claim;
+    const utilization = Math.min(1, (othersPerSecond + claim) / limit);
+    const byDemand = claim === 0 ? 0 : (utilization * claim) / (claim + othersPerSecond);
+    return (
+      available * (byDemand + (1 - utilization) * this.#idleShare(view, (1 - utilization) * limit))
+    );
   }
 
   /**
-   * Until a request may be sent, in milliseconds; with many that were refused lately, until some of these may be too, so that
-   * they do not all come back for the first place.
+   * Wait until a request may be sent, in milliseconds. Includes the requests that were refused
+   * recently, so that their retries do not compete for the same capacity.
    */
-  waitMilliseconds(sight: LimitView): number {
-    this.#reckon(sight);
-    const rate = Math.max(this.ratePerSecond(sight), this.perSecond / sight.hosts);
-    const forOne = (MILLISECONDS_PER_SECOND * Math.max(0, 1 - this.#saved)) / rate;
-    const forRoom = this.#room(sight) <= 0 ? MILLISECONDS_PER_SECOND / this.perSecond : 0;
-    const first = Math.max(forOne, forRoom);
-    const before = (MILLISECONDS_PER_SECOND * Math.max(0, this.#refused.total - 1)) / rate;
-    return first + Math.min(LONGEST_SPREAD_MILLISECONDS, before);
+  waitMilliseconds(view: LimitView): number {
+    this.#refill(view);
+    const rate = Math.max(this.ratePerSecond(view), this.perSecond / view.hosts);
+    const forOne = (MILLISECONDS_PER_SECOND * Math.max(0, 1 - this.#tokens)) / rate;
+    const forCapacity = this.#capacity(view) <= 0 ? MILLISECONDS_PER_SECOND / this.perSecond : 0;
+    const first = Math.max(forOne, forCapacity);
+    const queued = (MILLISECONDS_PER_SECOND * Math.max(0, this.#refused.total - 1)) / rate;
+    return first + Math.min(MAX_RETRY_SPREAD_MILLISECONDS, queued);
   }
 
-  /** Requests that may reach the target in this window yet, as far as this host knows. */
-  #room({ usageElsewhere: others, visibleHostShare: heardShare }: LimitView): number {
-    const most = Math.max(1, heardShare * this.perSecond * WINDOW_SECONDS);
-    return most - others.used - this.used;
+  /** Requests that may still reach the target in this window, as far as this host knows. */
+  #capacity({ usageElsewhere, visibleHostShare }: LimitView): number {
+    const max = Math.max(1, visibleHostShare * this.perSecond * WINDOW_SECONDS);
+    return max - usageElsewhere.used - this.used;
   }
 
   /**
-   * Whether there is room, by chance where far more is asked than there is room for: hosts that have saved up would all
-   * send before they hear of each other.
+   * Tells whether there is capacity. Admits at random if demand far exceeds it: hosts with saved
+   * tokens would otherwise all send before they receive the reports of each other.
    */
-  #isInRoom(sight: LimitView): boolean {
-    const room = this.#room(sight);
-    const askedUnheard =
-      (sight.usageElsewhere.demandPerSecond * UNHEARD_MILLISECONDS) / MILLISECONDS_PER_SECOND;
-    return room > 0 && this.#random.next() * askedUnheard < ASKED_PER_ROOM * (room + 1);
+  #hasCapacity(view: LimitView): boolean {
+    const capacity = this.#capacity(view);
+    const unreportedDemand =
+      (view.usageElsewhere.demandPerSecond * AVERAGE_REPORT_AGE_MILLISECONDS) /
+      MILLISECONDS_PER_SECOND;
+    return (
+      capacity > 0 && this.#random.next() * unreportedDemand < MAX_DEMAND_RATIO * (capacity + 1)
+    );
   }
 
-  /** What this host's callers want, as far as all others know it. */
+  /** Demand at this host as far as all other hosts know it. */
   get #claim(): number {
-    const [first] = this.#told;
-    const isKnown = first !== undefined && first.at <= this.#clock.now() - SPREAD_MILLISECONDS;
+    const [first] = this.#reports;
+    const isKnown = first !== undefined && first.at <= this.#clock.now() - PROPAGATION_MILLISECONDS;
     return isKnown
-      ? Math.min(this.demandPerSecond, ...this.#told.map(({ perSecond }) => perSecond))
+      ? Math.min(this.demandPerSecond, ...this.#reports.map(({ perSecond }) => perSecond))
       : 0;
   }
 
   /**
-   * This host's part of what nobody asks for, so that callers who just came are served. So many hosts have one that
-   * each has at least a request in a window: all may use it at once.
+   * Share of this host in the capacity without demand, so that new callers are served. Only as many
+   * hosts hold a share as can each send one request per window, since all may use it at once.
    */
-  #shareUnasked({ hosts, place }: LimitView, perSecond: number): number {
-    const holders = Math.max(1, Math.min(hosts, Math.floor(perSecond * WINDOW_SECONDS)));
-    return holders === hosts || place() < holders ? 1 / holders : 0;
+  #idleShare({ hosts, place }: LimitView, perSecond: number): number {
+    const holderCount = Math.max(1, Math.min(hosts, Math.floor(perSecond * WINDOW_SECONDS)));
+    return holderCount === hosts || place() < holderCount ? 1 / holderCount : 0;
   }
 
-  #reckon(sight: LimitView): void {
+  #refill(view: LimitView): void {
     const now = this.#clock.now();
-    const seconds = (now - this.#reckonedAt) / MILLISECONDS_PER_SECOND;
-    const rate = this.ratePerSecond(sight);
-    // Nothing is kept for callers that have gone: where they come back to all hosts at once, all would send at once.
-    const ordinary = Math.max(1, SAVED_SECONDS * rate);
-    const isQuiet = this.demandPerSecond === 0;
-    const most = isQuiet ? Math.min(ordinary, WINDOW_SECONDS * rate) : ordinary;
-    this.#saved = Math.min(most, this.#saved + seconds * rate);
-    this.#reckonedAt = now;
+    const seconds = (now - this.#refilledAt) / MILLISECONDS_PER_SECOND;
+    const rate = this.ratePerSecond(view);
+    // Idle hosts keep no burst: if callers returned to all hosts at once, all bursts would add up.
+    const burst = Math.max(1, BURST_SECONDS * rate);
+    const isIdle = this.demandPerSecond === 0;
+    const max = isIdle ? Math.min(burst, WINDOW_SECONDS * rate) : burst;
+    this.#tokens = Math.min(max, this.#tokens + seconds * rate);
+    this.#refilledAt = now;
   }
 }
--- a/packages/routing/src/limits/target-limits.ts
+++ b/packages/routing/src/limits/target-limits.ts
@@ -7,144 +7,144 @@
 import { LimitShare } from './limit-share.js';
 import type { LimitView } from './limit-share.js';
 
-/** What is known of the fleet that a limit is shared in. */
+/** Hosts that share a limit. */
 export interface LimitFleet {
-  /** Names of all hosts, this one included; the same array while nothing changes. */
+  /** Names of all hosts, including this one. The array is replaced when membership changes. */
   readonly hosts: readonly string[];
   readonly ownName: string;
-  /** Part of them, this one included, that is heard. */
+  /** Fraction of them, including this one, whose reports arrive. */
   readonly visibleHostShare: number;
 }
 
 export interface TargetLimitsOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** What all other hosts told of a start of a target. */
-  readonly usageElsewhere: (start: string) => UsageElsewhere;
+  /** Usage of an incarnation by all other hosts, as reported. */
+  readonly usageElsewhere: (incarnationId: string) => UsageElsewhere;
   readonly fleet: () => LimitFleet;
   readonly disabledMechanisms: DisabledMechanisms;
 }
 
-/** Where no target names a limit. */
+/** Limits for services whose targets advertise none. */
 export const NO_LIMITS: Pick<TargetLimits, 'tryAcquire' | 'release' | 'waitMilliseconds'> = {
   tryAcquire: () => true,
   release: () => undefined,
   waitMilliseconds: () => 0,
 };
 
-/** How much of a target's limit this host has and uses. */
+/** Usage of the limit of a target, and the share of this host. */
 export interface LimitUsage {
-  /** Requests a second that it takes to be its part. */
+  /** Requests per second of the share of this host. */
   readonly partPerSecond: number;
-  /** Requests that it sent in the last window. */
+  /** Requests sent by this host in the last window. */
   readonly used: number;
-  /** The same of all other hosts, as told. */
+  /** Requests sent by all other hosts, as reported. */
   readonly usedElsewhere: number;
 }
 
-/** This host's part of a start's limit, with its place among all hosts for it. */
-interface KnownPart {
-  readonly part: LimitShare;
-  place: number;
-  placedAmong: readonly string[] | undefined;
+/** Share of this host in the limit of an incarnation, with its cached rank among the hosts. */
+interface ShareEntry {
+  readonly share: LimitShare;
+  rank: number;
+  rankedHosts: readonly string[] | undefined;
 }
 
-/**
- * Keeps targets to the limits that they name. Every send leads through here, whatever it was chosen for; one to a target that
- * names no limit costs a look at its word.
- */
+/** Enforces the limits that targets advertise. Every request passes through here. */
 export class TargetLimits {
   readonly #options: TargetLimitsOptions;
-  readonly #parts = new Map<string, KnownPart>();
+  readonly #shares = new Map<string, ShareEntry>();
 
   constructor(options: TargetLimitsOptions) {
     this.#options = options;
   }
 
-  /** Lets a request be sent to a target, or does not. */
+  /** Admits a request to a target if its limit allows it. */
   tryAcquire(target: TargetState): boolean {
-    const known = this.#partOf(target);
-    return known === undefined || known.part.tryAcquire(this.#sightOf(target.incarnationId, known));
+    const entry = this.#entryOf(target);
+    return entry === undefined || entry.share.tryAcquire(this.#viewOf(target.incarnationId, entry));
   }
 
-  /** A request that was let be sent was not. */
+  /** Undoes the admission of a request that was not sent. */
   release(target: TargetState): void {
-    this.#parts.get(target.incarnationId)?.part.release();
+    this.#shares.get(target.incarnationId)?.share.release();
   }
 
-  /** Until a target takes a request of this host, in milliseconds; 0 where it names no limit. */
+  /**
+   * Wait until a target accepts a request of this host, in milliseconds; 0 if it advertises no
+   * limit.
+   */
   waitMilliseconds(target: TargetState): number {
-    const known = this.#partOf(target);
-    return known?.part.waitMilliseconds(this.#sightOf(target.incarnationId, known)) ?? 0;
+    const entry = this.#entryOf(target);
+    return entry?.share.waitMilliseconds(this.#viewOf(target.incarnationId, entry)) ?? 0;
   }
 
-  /** Undefined where the target names no limit. */
+  /** Usage of the limit of a target; undefined if it advertises none. */
   usageOf(target: TargetState): LimitUsage | undefined {
-    const known = this.#partOf(target);
-    if (known === undefined) {
+    const entry = this.#entryOf(target);
+    if (entry === undefined) {
       return undefined;
     }
-    const sight = this.#sightOf(target.incarnationId, known);
+    const view = this.#viewOf(target.incarnationId, entry);
     return {
-      partPerSecond: known.part.ratePerSecond(sight),
-      used: known.part.used,
-      usedElsewhere: sight.usageElsewhere.used,
+      partPerSecond: entry.share.ratePerSecond(view),
+      used: entry.share.used,
+      usedElsewhere: view.usageElsewhere.used,
     };
   }
 
-  /** What is told to other hosts now, by starts of targets; those without any use are left out. */
+  /** Returns the usage to report to peers, by incarnation; unused entries are dropped. */
   report(): UsageByName {
     const used: Record<string, number> = {};
-    const asked: Record<string, number> = {};
-    for (const [start, known] of this.#parts) {
-      const told = known.part.report(this.#sightOf(start, known));
-      if (told.used > 0 || told.demandPerSecond > 0) {
-        used[start] = told.used;
-        asked[start] = told.demandPerSecond;
+    const demand: Record<string, number> = {};
+    for (const [incarnationId, entry] of this.#shares) {
+      const usage = entry.share.report(this.#viewOf(incarnationId, entry));
+      if (usage.used > 0 || usage.demandPerSecond > 0) {
+        used[incarnationId] = usage.used;
+        demand[incarnationId] = usage.demandPerSecond;
       } else {
-        this.#parts.delete(start);
+        this.#shares.delete(incarnationId);
       }
     }
-    return { used, demand: asked };
+    return { used, demand };
   }
 
-  #partOf({ incarnationId: start, signals: word }: TargetState): KnownPart | undefined {
-    const { perSecond } = word.limit;
+  #entryOf({ incarnationId, signals }: TargetState): ShareEntry | undefined {
+    const { perSecond } = signals.limit;
     if (perSecond === undefined) {
-      if (this.#parts.size > 0) {
-        this.#parts.delete(start);
+      if (this.#shares.size > 0) {
+        this.#shares.delete(incarnationId);
       }
       return undefined;
     }
-    const { clock, random, disabledMechanisms: leftOut } = this.#options;
-    if (leftOut.has('limit')) {
+    const { clock, random, disabledMechanisms: disabled } = this.#options;
+    if (disabled.has('limit')) {
       return undefined;
     }
-    const known = this.#parts.get(start) ?? {
-      part: new LimitShare(clock, random, perSecond),
-      place: 0,
-      placedAmong: undefined,
+    const entry = this.#shares.get(incarnationId) ?? {
+      share: new LimitShare(clock, random, perSecond),
+      rank: 0,
+      rankedHosts: undefined,
     };
-    known.part.perSecond = perSecond;
-    this.#parts.set(start, known);
-    return known;
+    entry.share.perSecond = perSecond;
+    this.#shares.set(incarnationId, entry);
+    return entry;
   }
 
-  #sightOf(start: string, known: KnownPart): LimitView {
-    const { usageElsewhere: others, fleet } = this.#options;
-    const { hosts, ownName, visibleHostShare: heardShare } = fleet();
-    const place = (): number => {
-      if (known.placedAmong !== hosts) {
-        known.placedAmong = hosts;
-        known.place = rendezvousRank(start, hosts, (name) => name).indexOf(ownName);
+  #viewOf(incarnationId: string, entry: ShareEntry): LimitView {
+    const { usageElsewhere, fleet } = this.#options;
+    const { hosts, ownName, visibleHostShare } = fleet();
+    const rank = (): number => {
+      if (entry.rankedHosts !== hosts) {
+        entry.rankedHosts = hosts;
+        entry.rank = rendezvousRank(incarnationId, hosts, (name) => name).indexOf(ownName);
       }
-      return known.place;
+      return entry.rank;
     };
     return {
-      usageElsewhere: others(start),
-      visibleHostShare: heardShare,
+      usageElsewhere: usageElsewhere(incarnationId),
+      visibleHostShare,
       hosts: hosts.length,
-      place,
+      place: rank,
     };
   }
 }
--- a/packages/routing/src/max-load-per-slot.ts
+++ b/packages/routing/src/max-load-per-slot.ts
@@ -30,13 +30,14 @@
  */
 export function maxLoadPerSlot({
   route,
-  processingMilliseconds: runMilliseconds,
-  lowestPriority: leastUrgent,
+  processingMilliseconds,
+  lowestPriority,
 }: MaxLoadInput): number {
-  const extra = LOAD_PER_PRIORITY * Math.max(0, leastUrgent - route.priority);
-  if (runMilliseconds === undefined) {
+  const extra = LOAD_PER_PRIORITY * Math.max(0, lowestPriority - route.priority);
+  if (processingMilliseconds === undefined) {
     return MIN_LOAD + extra;
   }
-  const fitting = (USABLE_LATENCY_SHARE * route.targetLatencyMilliseconds) / runMilliseconds;
-  return Math.min(MAX_LOAD, Math.max(MIN_LOAD, fitting)) + extra;
+  const byLatency =
+    (USABLE_LATENCY_SHARE * route.targetLatencyMilliseconds) / processingMilliseconds;
+  return Math.min(MAX_LOAD, Math.max(MIN_LOAD, byLatency)) + extra;
 }
--- a/packages/routing/src/mechanisms.ts
+++ b/packages/routing/src/mechanisms.ts
@@ -49,7 +49,7 @@
   const names = text.split(',').filter((name) => name !== '');
   const unknown = names.find((name) => !isMechanism(name));
   if (unknown !== undefined) {
-    return Err(`without: unknown mechanism "${unknown}", expected one of ${MECHANISMS.join(', ')}`);
+    return Err(`without: expected mechanisms among ${MECHANISMS.join(', ')}, got "${unknown}"`);
   }
   return Ok(new Set(names.filter(isMechanism)));
 }
--- a/packages/routing/src/removed-target-signals.ts
+++ b/packages/routing/src/removed-target-signals.ts
@@ -18,28 +18,28 @@
    * Saves the signals of a removed target. Leaving is included, because an older record of the same
    * incarnation may return that lacks it.
    */
-  save({ incarnationId: start, signals: word, leaving }: TargetState, now: number): void {
+  save({ incarnationId, signals, leaving }: TargetState, now: number): void {
     if (leaving) {
-      word.recordLeaving();
+      signals.recordLeaving();
     }
-    if (!word.isLeaving && !word.isResting(now) && word.limit.perSecond === undefined) {
+    if (!signals.isLeaving && !signals.isResting(now) && signals.limit.perSecond === undefined) {
       return;
     }
-    this.#entries.delete(start);
-    this.#entries.set(start, word);
+    this.#entries.delete(incarnationId);
+    this.#entries.set(incarnationId, signals);
     if (this.#entries.size > MAX_ENTRIES) {
       this.#entries.delete(this.#entries.keys().next().value ?? '');
     }
   }
 
   /** Returns and removes the signals of a returning incarnation; undefined if there are none. */
-  restore(start: TargetIncarnation): TargetSignals | undefined {
+  restore(incarnation: TargetIncarnation): TargetSignals | undefined {
     if (this.#entries.size === 0) {
       return undefined;
     }
-    const name = incarnationId(start);
-    const word = this.#entries.get(name);
-    this.#entries.delete(name);
-    return word;
+    const id = incarnationId(incarnation);
+    const signals = this.#entries.get(id);
+    this.#entries.delete(id);
+    return signals;
   }
 }
--- a/packages/routing/src/suspects/suspect-table.ts
+++ b/packages/routing/src/suspects/suspect-table.ts
@@ -1,78 +1,78 @@
 import type { Clock } from '@ferrylock/utils';
 
 /**
- * Targets that end under a request, without an answer to it in between, before it is turned away. Two are too few:
- * a look-up that happens to be at one target that ends is sent to a second at once, and where several end at the
- * same moment both may. Each further one costs a target.
+ * Crashes of targets under a request, without a response in between, from which the request is a
+ * suspect. Two are too few: a request can be at one target that crashes for another reason and be
+ * retried at a second. Each further one costs a target.
  */
 export const SUSPECT_CRASHES = 3;
 /**
- * Answers to a request that take back the ends before them. With one, a request that ends targets in a quarter of its
- * runs ended 124 at 12 hosts (three times 30 s), with two 92, with three 85; where a third of the targets crash every
- * 3 s, 12, 22 and 69 of 31,000 ordinary requests were turned away. In an emulated fleet.
+ * Responses to a request that clear the crashes before them. Fewer would let a request that crashes
+ * targets only sometimes continue; more would refuse ordinary requests while targets crash for
+ * other reasons.
  */
 export const RESPONSES_TO_CLEAR = 2;
-/** How long an end counts after the request was last at a target that ended, or was last asked for. */
-const KEPT_MILLISECONDS = 600_000;
+/** Retention period of a crash after the last crash under the request or its last arrival. */
+const RETENTION_MILLISECONDS = 600_000;
 /**
- * Requests that are watched: those that were at a target when it ended, some ten for each end. Some 150 KB; where
- * there are more, those with the fewest ends are forgotten, the longest ago first.
+ * Limit on tracked requests; the ones with the fewest crashes are evicted first, then the least
+ * recent.
  */
-const MOST_REQUESTS = 1_024;
-/** Ends that are kept of one request: enough for it to stay a suspect where a few are taken back. */
-const MOST_ENDS = 8;
-/** Characters at the beginning of a fingerprint that most other requests do not share. */
+const MAX_REQUESTS = 1_024;
+/** Limit on crashes of one request; enough for it to stay a suspect if a few are cleared. */
+const MAX_CRASHES = 8;
+/** Length of the fingerprint prefix used as a filter; few other requests share it. */
 export const FINGERPRINT_PREFIX_LENGTH = 7;
-/** How long news is told with each message: several rounds, so that one may be lost. */
-const NEWS_MILLISECONDS = 3_000;
-/** Requests whose news goes with one message, those with most ends first: 3 KB at most, mostly under 1 KB. */
-const MOST_NEWS = 16;
-/** Older ones with two ends or more that go with one message, in turn, for hosts that missed the news. */
-const MOST_REMINDERS = 2;
-/** Fewest ends of a request of which hosts are reminded. */
-const FEWEST_REMINDED = 2;
-
-/** The end of a target that had a request. */
+/** Time for which a change is included in every report, so that a lost message does no harm. */
+const CHANGE_MILLISECONDS = 3_000;
+/** Limit on changed requests in one report; those with the most crashes come first. */
+const MAX_CHANGES = 16;
+/** Limit on unchanged requests in one report, in turn, for hosts that missed the change. */
+const MAX_REMINDERS = 2;
+/** Minimum crashes of an unchanged request to be reported again. */
+const MIN_REMINDER_CRASHES = 2;
+
+/** Crash of a target that had the request. */
 export interface SuspectCrash {
-  /** The start of the target that ended. */
+  /** Incarnation of the target that crashed. */
   readonly target: string;
   readonly ageMilliseconds: number;
-  /** Answers to the request after it, as far as they count; enough of them take the end back. */
+  /** Responses to the request since the crash, up to those needed to clear it. */
   readonly responses: number;
 }
 
-/** A request that was at targets when they ended, as hosts tell one another. */
+/** Request that was at targets when they crashed, as hosts report it to each other. */
 export interface SuspectReport {
   readonly fingerprint: string;
   readonly crashes: readonly SuspectCrash[];
 }
 
-interface SeenEnd {
+interface ObservedCrash {
   at: number;
   responses: number;
 }
 
-interface WatchedRequest {
-  readonly ends: Map<string, SeenEnd>;
-  /** Ends that are not taken back. */
+interface TrackedRequest {
+  readonly crashes: Map<string, ObservedCrash>;
+  /** Crashes that are not cleared. */
   counted: number;
   changedAt: number;
-  /** Its last end, or when it was last asked for. */
-  keptFrom: number;
-  /** Whether what changed last was seen here, and not heard of. */
-  isOwnNews: boolean;
+  /** Time of the last crash or arrival. */
+  activeAt: number;
+  /** Tells whether the last change was observed here rather than reported by a peer. */
+  isOwnChange: boolean;
 }
 
 /**
- * Requests that were at targets when they ended, by their fingerprints, with what hosts saw of them together. Two
- * hosts' knowledge adds up to the same in whatever order it comes and however often: ends are told by the target's
- * start, and are only ever added or taken back.
+ * Requests that were at targets when they crashed, by fingerprint, merged from the observations of
+ * all hosts. Merging is commutative and idempotent: crashes are identified by the incarnation of
+ * the target, and are only ever added or cleared.
  */
 export class SuspectTable {
   readonly #clock: Clock;
-  readonly #requests = new Map<string, WatchedRequest>();
-  /** Requests by the beginning of their fingerprints. */
-  readonly #heads = new Map<string, number>();
+  readonly #requests = new Map<string, TrackedRequest>();
+  /** Number of requests by fingerprint prefix. */
+  readonly #prefixes = new Map<string, number>();
   #reminded = 0;
 
   constructor(clock: Clock) {
@@ -83,14 +83,14 @@
     return this.#requests.size;
   }
 
-  /** Fingerprints of requests that are suspects. */
+  /** Fingerprints of suspect requests. */
   get suspects(): string[] {
     return [...this.#requests.keys()].filter((fingerprint) => this.isSuspect(fingerprint));
   }
 
-  /** Whether some fingerprint that is known begins like this. */
-  hasPrefix(head: string): boolean {
-    return this.#heads.has(head);
+  /** Tells whether any known fingerprint has this prefix. */
+  hasPrefix(prefix: string): boolean {
+    return this.#prefixes.has(prefix);
   }
 
   has(fingerprint: string): boolean {
@@ -101,84 +101,92 @@
     return this.#countedOf(fingerprint) >= SUSPECT_CRASHES;
   }
 
-  /** Targets that ended under a request and that no answer has taken back since. */
+  /** Targets that crashed under a request and whose crash is not cleared. */
   crashesOf(fingerprint: string): string[] {
-    const ends = this.#requests.get(fingerprint)?.ends ?? [];
-    return [...ends].flatMap(([target, end]) => (isTakenBack(end) ? [] : [target]));
+    const crashes = this.#requests.get(fingerprint)?.crashes ?? [];
+    return [...crashes].flatMap(([target, crash]) => (isCleared(crash) ? [] : [target]));
   }
 
-  /** When a target last ended under a request, as far as is known here. */
+  /** Time of the last known crash under a request. */
   lastCrashAt(fingerprint: string): number {
-    const ends = this.#requests.get(fingerprint)?.ends.values() ?? [];
-    return [...ends].reduce((latest, { at }) => Math.max(latest, at), -Infinity);
+    const crashes = this.#requests.get(fingerprint)?.crashes.values() ?? [];
+    return [...crashes].reduce((latest, { at }) => Math.max(latest, at), -Infinity);
   }
 
-  /** A target ended that had the request; tells whether that was news. */
+  /**
+   * Records a crash of a target that had the request.
+   *
+   * @returns whether this is a new crash
+   */
   recordCrash(fingerprint: string, target: string): boolean {
-    const end = { target, ageMilliseconds: 0, responses: 0 };
-    return this.#merge({ fingerprint, crashes: [end] }, true);
+    const crash = { target, ageMilliseconds: 0, responses: 0 };
+    return this.#merge({ fingerprint, crashes: [crash] }, true);
   }
 
   /**
-   * A target ran the request to its answer, so that the targets before it may have ended for another reason.
+   * Records a response to the request, which suggests that earlier crashes had another cause.
    *
-   * @param answers - for how many answers it counts
+   * @param responses - number of responses that it counts as
    */
-  recordResponse(fingerprint: string, answers = 1): boolean {
-    return this.#takeBack(fingerprint, answers, () => true);
+  recordResponse(fingerprint: string, responses = 1): boolean {
+    return this.#clear(fingerprint, responses, () => true);
   }
 
-  /** A target that was taken to have ended lives. */
+  /** Records that a target presumed to have crashed is alive. */
   recordAlive(target: string): void {
     for (const fingerprint of this.#requests.keys()) {
-      this.#takeBack(fingerprint, RESPONSES_TO_CLEAR, (ended) => ended === target);
+      this.#clear(fingerprint, RESPONSES_TO_CLEAR, (crashed) => crashed === target);
     }
   }
 
-  /** When a target last ended under a request, or it was last asked for. */
+  /** Time of the last crash under the request or of its last arrival. */
   lastActivityAt(fingerprint: string): number {
-    return this.#requests.get(fingerprint)?.keptFrom ?? -Infinity;
+    return this.#requests.get(fingerprint)?.activeAt ?? -Infinity;
   }
 
-  /** It is still asked for. */
+  /** Records that the request arrived again. */
   recordArrival(fingerprint: string): void {
-    const watched = this.#requests.get(fingerprint);
-    if (watched !== undefined) {
-      watched.keptFrom = this.#clock.now();
+    const tracked = this.#requests.get(fingerprint);
+    if (tracked !== undefined) {
+      tracked.activeAt = this.#clock.now();
     }
   }
 
-  /** Takes what another host tells; tells whether there was news of a request with two ends or more. */
-  merge(told: readonly SuspectReport[]): boolean {
-    const news = told.filter((suspect) => this.#merge(suspect, false));
-    return news.some(({ fingerprint }) => this.#countedOf(fingerprint) >= FEWEST_REMINDED);
+  /**
+   * Merges the report of a peer.
+   *
+   * @returns whether a request with enough crashes for reminders changed
+   */
+  merge(reports: readonly SuspectReport[]): boolean {
+    const changed = reports.filter((suspect) => this.#merge(suspect, false));
+    return changed.some(({ fingerprint }) => this.#countedOf(fingerprint) >= MIN_REMINDER_CRASHES);
   }
 
-  /** What to tell others now. */
+  /** Returns the requests to report to peers now. */
   report(which: 'own' | 'all'): SuspectReport[] {
     const now = this.#clock.now();
-    const isNews = ({ changedAt, isOwnNews }: WatchedRequest): boolean =>
-      now - changedAt < NEWS_MILLISECONDS && (isOwnNews || which === 'all');
-    const news: string[] = [];
+    const hasChanged = ({ changedAt, isOwnChange }: TrackedRequest): boolean =>
+      now - changedAt < CHANGE_MILLISECONDS && (isOwnChange || which === 'all');
+    const changed: string[] = [];
     const reminders: string[] = [];
-    for (const [fingerprint, watched] of this.#requests) {
-      if (isNews(watched)) {
-        news.push(fingerprint);
-      } else if (watched.counted >= FEWEST_REMINDED) {
+    for (const [fingerprint, tracked] of this.#requests) {
+      if (hasChanged(tracked)) {
+        changed.push(fingerprint);
+      } else if (tracked.counted >= MIN_REMINDER_CRASHES) {
         reminders.push(fingerprint);
       }
     }
-    const first = this.#strongestFirst(news).slice(0, MOST_NEWS);
+    const first = this.#strongestFirst(changed).slice(0, MAX_CHANGES);
     return [...first, ...this.#nextReminders(reminders)].map((fingerprint) =>
       this.#describe(fingerprint, now),
     );
   }
 
-  /** To be called a few times a second: forgets what is long over. */
+  /** Removes expired requests. Called several times per second. */
   sweep(): void {
-    const oldest = this.#clock.now() - KEPT_MILLISECONDS;
-    for (const [fingerprint, { keptFrom }] of this.#requests) {
-      if (keptFrom < oldest) {
+    const oldest = this.#clock.now() - RETENTION_MILLISECONDS;
+    for (const [fingerprint, { activeAt }] of this.#requests) {
+      if (activeAt < oldest) {
         this.#forget(fingerprint);
       }
     }
@@ -188,81 +196,87 @@
     return this.#requests.get(fingerprint)?.counted ?? 0;
   }
 
-  #merge({ fingerprint, crashes: ends }: SuspectReport, isOwnNews: boolean): boolean {
+  #merge({ fingerprint, crashes }: SuspectReport, isOwnChange: boolean): boolean {
     const now = this.#clock.now();
-    const recent = ends.filter(({ ageMilliseconds }) => ageMilliseconds < KEPT_MILLISECONDS);
+    const recent = crashes.filter(
+      ({ ageMilliseconds }) => ageMilliseconds < RETENTION_MILLISECONDS,
+    );
     const isKnown = this.#requests.has(fingerprint);
     if (recent.length === 0 || (!isKnown && !this.#makeRoom(recent.length))) {
       return false;
     }
-    const watched = this.#requests.get(fingerprint) ?? this.#watch(fingerprint, isOwnNews);
-    const changes = recent.filter((end) => mergeEnd(watched, end, now));
+    const tracked = this.#requests.get(fingerprint) ?? this.#track(fingerprint, isOwnChange);
+    const changes = recent.filter((crash) => mergeCrash(tracked, crash, now));
     if (changes.length > 0) {
-      watched.counted = countEnds(watched);
-      watched.changedAt = now;
-      watched.isOwnNews = isOwnNews;
+      tracked.counted = countCrashes(tracked);
+      tracked.changedAt = now;
+      tracked.isOwnChange = isOwnChange;
     }
     return changes.length > 0;
   }
 
-  #watch(fingerprint: string, isOwnNews: boolean): WatchedRequest {
-    const watched = {
-      ends: new Map<string, SeenEnd>(),
+  #track(fingerprint: string, isOwnChange: boolean): TrackedRequest {
+    const tracked = {
+      crashes: new Map<string, ObservedCrash>(),
       counted: 0,
       changedAt: this.#clock.now(),
-      keptFrom: -Infinity,
-      isOwnNews,
+      activeAt: -Infinity,
+      isOwnChange,
     };
-    this.#requests.set(fingerprint, watched);
-    const head = headOf(fingerprint);
-    this.#heads.set(head, (this.#heads.get(head) ?? 0) + 1);
-    return watched;
+    this.#requests.set(fingerprint, tracked);
+    const prefix = prefixOf(fingerprint);
+    this.#prefixes.set(prefix, (this.#prefixes.get(prefix) ?? 0) + 1);
+    return tracked;
   }
 
   #forget(fingerprint: string): void {
     this.#requests.delete(fingerprint);
-    const head = headOf(fingerprint);
-    const count = (this.#heads.get(head) ?? 0) - 1;
+    const prefix = prefixOf(fingerprint);
+    const count = (this.#prefixes.get(prefix) ?? 0) - 1;
     if (count > 0) {
-      this.#heads.set(head, count);
+      this.#prefixes.set(prefix, count);
     } else {
-      this.#heads.delete(head);
+      this.#prefixes.delete(prefix);
     }
   }
 
-  #takeBack(fingerprint: string, answers: number, isMeant: (target: string) => boolean): boolean {
-    const watched = this.#requests.get(fingerprint);
-    const meant = [...(watched?.ends ?? [])].filter(
-      ([target, end]) => !isTakenBack(end) && isMeant(target),
+  #clear(fingerprint: string, responses: number, isAffected: (target: string) => boolean): boolean {
+    const tracked = this.#requests.get(fingerprint);
+    const affected = [...(tracked?.crashes ?? [])].filter(
+      ([target, crash]) => !isCleared(crash) && isAffected(target),
     );
-    if (watched === undefined || meant.length === 0) {
+    if (tracked === undefined || affected.length === 0) {
       return false;
     }
-    for (const [, end] of meant) {
-      end.responses += answers;
+    for (const [, crash] of affected) {
+      crash.responses += responses;
     }
-    watched.counted = countEnds(watched);
-    watched.changedAt = this.#clock.now();
-    watched.isOwnNews = true;
+    tracked.counted = countCrashes(tracked);
+    tracked.changedAt = this.#clock.now();
+    tracked.isOwnChange = true;
     return true;
   }
 
-  /** Whether there is room for one with so many ends, if need be in place of the weakest. */
-  #makeRoom(ends: number): boolean {
-    if (this.#requests.size < MOST_REQUESTS) {
+  /**
+   * Makes room for a request with this many crashes, if necessary by evicting the weakest one.
+   *
+   * @returns whether there is room
+   */
+  #makeRoom(crashes: number): boolean {
+    if (this.#requests.size < MAX_REQUESTS) {
       return true;
     }
     const [weakest = '', { counted = 0 } = {}] = this.#weakest ?? [];
-    if (counted > ends) {
+    if (counted > crashes) {
       return false;
     }
     this.#forget(weakest);
     return true;
   }
 
-  /** The request with the fewest ends; of equals the one that nothing has been heard of for the longest time. */
-  get #weakest(): [string, WatchedRequest] | undefined {
-    let weakest: [string, WatchedRequest] | undefined;
+  /** Request with the fewest crashes; of equals, the least recently changed. */
+  get #weakest(): [string, TrackedRequest] | undefined {
+    let weakest: [string, TrackedRequest] | undefined;
     for (const entry of this.#requests) {
       if (weakest === undefined || isWeaker(entry[1], weakest[1])) {
         weakest = entry;
@@ -271,82 +285,83 @@
     return weakest;
   }
 
-  /** Those with most ends first; equals, the latest first. */
+  /** Orders by descending number of crashes, then by the latest change. */
   #strongestFirst(fingerprints: readonly string[]): string[] {
     const ranked = fingerprints.map((fingerprint) => ({
       fingerprint,
-      ends: this.#countedOf(fingerprint),
+      crashes: this.#countedOf(fingerprint),
       changedAt: this.#requests.get(fingerprint)?.changedAt ?? 0,
     }));
-    ranked.sort((a, b) => b.ends - a.ends || b.changedAt - a.changedAt);
+    ranked.sort((a, b) => b.crashes - a.crashes || b.changedAt - a.changedAt);
     return ranked.map(({ fingerprint }) => fingerprint);
   }
 
   #nextReminders(fingerprints: readonly string[]): string[] {
-    const count = Math.min(MOST_REMINDERS, fingerprints.length);
+    const count = Math.min(MAX_REMINDERS, fingerprints.length);
     const first = this.#reminded;
     this.#reminded = fingerprints.length === 0 ? 0 : (first + count) % fingerprints.length;
     return Array.from({ length: count }, (_, index) => {
-      const place = (first + index) % fingerprints.length;
-      return fingerprints[place] ?? '';
+      const position = (first + index) % fingerprints.length;
+      return fingerprints[position] ?? '';
     });
   }
 
   #describe(fingerprint: string, now: number): SuspectReport {
-    const ends = [...(this.#requests.get(fingerprint)?.ends ?? [])];
+    const crashes = [...(this.#requests.get(fingerprint)?.crashes ?? [])];
     return {
       fingerprint,
-      crashes: ends.map(([target, { at, responses: answers }]) => ({
+      crashes: crashes.map(([target, { at, responses }]) => ({
         target,
         ageMilliseconds: now - at,
-        responses: answers,
+        responses,
       })),
     };
   }
 }
 
-function isWeaker(one: WatchedRequest, other: WatchedRequest): boolean {
-  return (
-    one.counted < other.counted ||
-    (one.counted === other.counted && one.changedAt < other.changedAt)
-  );
+function isWeaker(a: TrackedRequest, b: TrackedRequest): boolean {
+  return a.counted < b.counted || (a.counted === b.counted && a.changedAt < b.changedAt);
 }
 
-function headOf(fingerprint: string): string {
+function prefixOf(fingerprint: string): string {
   return fingerprint.slice(0, FINGERPRINT_PREFIX_LENGTH);
 }
 
-/** Adds an end, or takes it back; tells whether either was new. */
-function mergeEnd(watched: WatchedRequest, end: SuspectCrash, now: number): boolean {
-  const { target, ageMilliseconds, responses: answers } = end;
-  const { ends } = watched;
-  const known = ends.get(target);
+/**
+ * Adds or clears a crash.
+ *
+ * @returns whether anything changed
+ */
+function mergeCrash(tracked: TrackedRequest, crash: SuspectCrash, now: number): boolean {
+  const { target, ageMilliseconds, responses } = crash;
+  const { crashes } = tracked;
+  const known = crashes.get(target);
   if (known !== undefined) {
-    const isNews = answers > known.responses;
-    known.responses = Math.max(known.responses, answers);
-    // News takes time on its way: the earliest that is heard of is the truest, however often it is passed on.
+    const hasChanged = responses > known.responses;
+    known.responses = Math.max(known.responses, responses);
+    // Reports are delayed: the earliest time is the most accurate.
     known.at = Math.min(known.at, now - ageMilliseconds);
-    return isNews;
+    return hasChanged;
   }
-  if (ends.size >= MOST_ENDS && !makeRoomFor(end, ends)) {
+  if (crashes.size >= MAX_CRASHES && !makeRoomFor(crash, crashes)) {
     return false;
   }
   const at = now - ageMilliseconds;
-  ends.set(target, { at, responses: answers });
-  watched.keptFrom = Math.max(watched.keptFrom, at);
+  crashes.set(target, { at, responses });
+  tracked.activeAt = Math.max(tracked.activeAt, at);
   return true;
 }
 
-/** Puts an end that counts in the place of one that was taken back; more than enough to be a suspect are not kept. */
-function makeRoomFor(end: SuspectCrash, ends: Map<string, SeenEnd>): boolean {
-  const [target] = [...ends].find(([, known]) => isTakenBack(known)) ?? [];
-  return !isTakenBack(end) && target !== undefined && ends.delete(target);
+/** Replaces a cleared crash with a new one; crashes beyond the limit are dropped. */
+function makeRoomFor(crash: SuspectCrash, crashes: Map<string, ObservedCrash>): boolean {
+  const [target] = [...crashes].find(([, known]) => isCleared(known)) ?? [];
+  return !isCleared(crash) && target !== undefined && crashes.delete(target);
 }
 
-function isTakenBack({ responses: answers }: Pick<SeenEnd, 'responses'>): boolean {
-  return answers >= RESPONSES_TO_CLEAR;
+function isCleared({ responses }: Pick<ObservedCrash, 'responses'>): boolean {
+  return responses >= RESPONSES_TO_CLEAR;
 }
 
-function countEnds({ ends }: WatchedRequest): number {
-  return [...ends.values()].filter((end) => !isTakenBack(end)).length;
+function countCrashes({ crashes }: TrackedRequest): number {
+  return [...crashes.values()].filter((crash) => !isCleared(crash)).length;
 }
--- a/packages/routing/src/target-availability.ts
+++ b/packages/routing/src/target-availability.ts
@@ -6,8 +6,8 @@
 const MAX_REPORTED_TARGETS = 4;
 
 /**
- * Time until the first eligible target becomes available, while all of them rest or are at their
- * advertised limit.
+ * Time until the first eligible target becomes available, while all of them rest (a back-off
+ * requested through Retry-After) or are at their advertised limit.
  */
 export interface TargetAvailability {
   /** Wait until the first of them accepts a request. */
--- a/packages/routing/src/target-ranking.ts
+++ b/packages/routing/src/target-ranking.ts
@@ -2,7 +2,7 @@
 import type { TargetState } from './target-state.js';
 
 /** Limit on cached keys; the oldest is evicted first. */
-const MOST_CACHED_KEYS = 5_000;
+const MAX_CACHED_KEYS = 5_000;
 /** Cached targets of each region; enough that some are usually available. */
 const CACHED_PER_REGION = 12;
 /** Minimum cached targets of a region after removals, below which the entry is recomputed. */
@@ -52,11 +52,11 @@
 
   remove(target: TargetState): void {
     const region = this.#regionOf(target);
-    const left = (this.#members.get(region) ?? []).filter((member) => member !== target);
-    this.#members.set(region, left);
+    const remaining = (this.#members.get(region) ?? []).filter((member) => member !== target);
+    this.#members.set(region, remaining);
     for (const [key, { ranked, targets }] of this.#cache) {
       const kept = ranked.get(region)?.filter((entry) => entry.target !== target) ?? [];
-      if (kept.length < Math.min(MIN_CACHED_PER_REGION, left.length)) {
+      if (kept.length < Math.min(MIN_CACHED_PER_REGION, remaining.length)) {
         this.#cache.delete(key);
       } else {
         ranked.set(region, kept);
@@ -71,7 +71,7 @@
     if (known !== undefined) {
       return known.targets;
     }
-    if (this.#cache.size >= MOST_CACHED_KEYS) {
+    if (this.#cache.size >= MAX_CACHED_KEYS) {
       this.#cache.delete(this.#cache.keys().next().value ?? '');
     }
     const keyHash = stableHash(key);
@@ -90,14 +90,14 @@
     return isComplete ? ranks : withoutWeights(this.#rank(stableHash(key), Infinity));
   }
 
-  #rank(keyHash: number, most: number): Map<string, WeightedTarget[]> {
+  #rank(keyHash: number, limit: number): Map<string, WeightedTarget[]> {
     const ranks = new Map<string, WeightedTarget[]>();
     for (const [region, members] of this.#members) {
       const ranked = members.map((target) => ({
         target,
         weight: combineHashes(keyHash, target.idHash),
       }));
-      ranks.set(region, ranked.sort(compare).slice(0, most));
+      ranks.set(region, ranked.sort(compare).slice(0, limit));
     }
     return ranks;
   }
@@ -111,12 +111,12 @@
   memberCount: number,
 ): void {
   const kept = ranked.get(region) ?? [];
-  const place = kept.findIndex((other) => compare(entry, other) < 0);
+  const rank = kept.findIndex((other) => compare(entry, other) < 0);
   const isComplete = kept.length === memberCount - 1;
-  if (place === -1 && !isComplete) {
+  if (rank === -1 && !isComplete) {
     return;
   }
-  kept.splice(place === -1 ? kept.length : place, 0, entry);
+  kept.splice(rank === -1 ? kept.length : rank, 0, entry);
   kept.length = Math.min(kept.length, CACHED_PER_REGION);
   ranked.set(region, kept);
   targets.set(region, kept.map(targetOf));
--- a/packages/routing/src/target-signals.ts
+++ b/packages/routing/src/target-signals.ts
@@ -7,8 +7,9 @@
 const MAX_REST_MILLISECONDS = 3_600_000;
 
 /**
- * Signals that an incarnation of a target sent in its responses to this host. Records do not revoke
- * them. A later response without a signal revokes only the limit, not leaving or a rest.
+ * Signals that an incarnation of a target sent in its responses to this host: that it leaves, that
+ * it rests (a back-off requested through Retry-After), or a limit. Records do not revoke them. A
+ * later response without a signal revokes only the limit.
  */
 export class TargetSignals {
   /** Requests per second that it accepts from all hosts together. */
--- a/packages/routing/src/target-state.ts
+++ b/packages/routing/src/target-state.ts
@@ -47,9 +47,9 @@
   #isDraining = false;
 
   /** @param signals - signals of this incarnation before its record was removed */
-  constructor(record: TargetRecord, now: number, word = new TargetSignals()) {
+  constructor(record: TargetRecord, now: number, signals = new TargetSignals()) {
     this.record = record;
-    this.signals = word;
+    this.signals = signals;
     this.incarnationId = incarnationId(record);
     this.idHash = stableHash(record.id);
     this.update(record, now);
@@ -72,7 +72,10 @@
     this.#isDraining = true;
   }
 
-  /** Tells whether the target asked this host for a rest that is not over. */
+  /**
+   * Tells whether the target rests: whether a back-off that it requested of this host through
+   * Retry-After is not over.
+   */
   isResting(now: number, disabled: DisabledMechanisms = NO_DISABLED_MECHANISMS): boolean {
     return this.signals.isResting(now) && !disabled.has('rest');
   }
