--- a/packages/routing/src/accounts/account-quota.ts
+++ b/packages/routing/src/accounts/account-quota.ts
@@ -162,22 +162,20 @@
     this.#usedRecently.add(runs);
   }
 
-  #isWithinQuota(usageElsewhere: UsageElsewhere, visibility: PeerVisibility): boolean {
-    const max = this.#max - visibility.unaccountedShare * this.limit;
-    if (visibility.peerReportAgeMilliseconds > ISOLATION_MILLISECONDS) {
-      return (
-        this.used + 1 <= Math.max(visibility.isolatedShare * max, this.#isolatedUsage(visibility))
-      );
+  #isWithinQuota(usageElsewhere: UsageElsewhere, peers: PeerVisibility): boolean {
+    const max = this.#max - peers.unaccountedShare * this.limit;
+    if (peers.peerReportAgeMilliseconds > ISOLATION_MILLISECONDS) {
+      return this.used + 1 <= Math.max(peers.isolatedShare * max, this.#isolatedUsage(peers));
     }
     // A host without usage data does not know the demand elsewhere either.
-    const certainty = 1 - UNACCOUNTED_RESERVE * visibility.unaccountedShare;
+    const certainty = 1 - UNACCOUNTED_RESERVE * peers.unaccountedShare;
     const remaining = certainty * (max - usageElsewhere.used - this.used);
     const maxBurst = Math.max(MIN_STALE_RUNS, MAX_BURST_SHARE * max);
-    const isBurst = !visibility.isAlone && this.#usedRecently.total + 1 > maxBurst;
+    const isBurst = !peers.isAlone && this.#usedRecently.total + 1 > maxBurst;
     if (remaining < 1 || isBurst) {
       return false;
     }
-    if (visibility.peerReportAgeMilliseconds > STALE_MILLISECONDS) {
+    if (peers.peerReportAgeMilliseconds > STALE_MILLISECONDS) {
       this.#runsSinceFresh++;
       return (
         this.#runsSinceFresh <=
--- a/packages/routing/src/accounts/account-table.ts
+++ b/packages/routing/src/accounts/account-table.ts
@@ -77,11 +77,8 @@
   }
 
   /** Combines priorities: the account decides, then the route. */
-  #combinePriorities(accountPriority: number, routePriority: number): number {
-    return (
-      (accountPriority - this.#highestAccountPriority) * (this.#lowestRoutePriority + 1) +
-      routePriority
-    );
+  #combinePriorities(byAccount: number, byRoute: number): number {
+    return (byAccount - this.#highestAccountPriority) * (this.#lowestRoutePriority + 1) + byRoute;
   }
 }
 
--- a/packages/routing/src/limits/limit-share.ts
+++ b/packages/routing/src/limits/limit-share.ts
@@ -126,11 +126,9 @@
     const available = limit + CATCH_UP_PER_SECOND * Math.max(0, this.#capacity(view));
     const { demandPerSecond: othersPerSecond } = view.usageElsewhere;
     const claim = view.hosts === 1 ? this.demandPerSecond : this.#claim;
-    const utilization = Math.min(1, (othersPerSecond + claim) / limit);
-    const byDemand = claim === 0 ? 0 : (utilization * claim) / (claim + othersPerSecond);
-    return (
-      available * (byDemand + (1 - utilization) * this.#idleShare(view, (1 - utilization) * limit))
-    );
+    const load = Math.min(1, (othersPerSecond + claim) / limit);
+    const byDemand = claim === 0 ? 0 : (load * claim) / (claim + othersPerSecond);
+    return available * (byDemand + (1 - load) * this.#idleShare(view, (1 - load) * limit));
   }
 
   /**
@@ -159,12 +157,10 @@
    */
   #hasCapacity(view: LimitView): boolean {
     const capacity = this.#capacity(view);
-    const unreportedDemand =
+    const unreported =
       (view.usageElsewhere.demandPerSecond * AVERAGE_REPORT_AGE_MILLISECONDS) /
       MILLISECONDS_PER_SECOND;
-    return (
-      capacity > 0 && this.#random.next() * unreportedDemand < MAX_DEMAND_RATIO * (capacity + 1)
-    );
+    return capacity > 0 && this.#random.next() * unreported < MAX_DEMAND_RATIO * (capacity + 1);
   }
 
   /** Demand at this host as far as all other hosts know it. */
--- a/packages/routing/src/suspects/suspect-table.ts
+++ b/packages/routing/src/suspects/suspect-table.ts
@@ -319,8 +319,11 @@
   }
 }
 
-function isWeaker(a: TrackedRequest, b: TrackedRequest): boolean {
-  return a.counted < b.counted || (a.counted === b.counted && a.changedAt < b.changedAt);
+function isWeaker(one: TrackedRequest, other: TrackedRequest): boolean {
+  return (
+    one.counted < other.counted ||
+    (one.counted === other.counted && one.changedAt < other.changedAt)
+  );
 }
 
 function prefixOf(fingerprint: string): string {
