--- a/packages/routing/tests/accounts/account-table.test.ts
+++ b/packages/routing/tests/accounts/account-table.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe('AccountTable', () => {
-  it('knows an account by each of its keys', () => {
+  it('finds an account by each of its keys', () => {
     const table = makeTable(makeAccount(), makeAccount({ name: 'grower', keys: ['k-3'] }));
     const names = ['k-1', 'k-2', 'k-3'].map(
       (key) => table.admit(makeRoute(), key).unwrap().account?.name,
@@ -21,17 +21,17 @@
   });
 
   it.each([
-    ['a key of nobody', 'k-9'],
+    ['an unknown key', 'k-9'],
     ['no key', undefined],
     ['an empty key', ''],
-  ])('admits %s on anonymous routes alone', (_case, key) => {
+  ])('admits %s only on anonymous routes', (_case, key) => {
     const table = makeTable(makeAccount());
     expect(table.admit(makeRoute(), key).unwrapErr()).toBe('unknown-key');
     const open = makeRoute({ admitsAnonymous: true });
     expect(table.admit(open, key).unwrap()).toEqual({ route: open, account: undefined });
   });
 
-  it('names the account also on anonymous routes', () => {
+  it('returns the account on anonymous routes too', () => {
     const open = makeRoute({ admitsAnonymous: true });
     expect(makeTable(makeAccount()).admit(open, 'k-1').unwrap().account?.name).toBe('haulier');
   });
@@ -41,36 +41,44 @@
     [['fyn'], [], ['fyn']],
     [[], ['fyn'], ['fyn']],
     [['fyn', 'jylland'], ['jylland', 'sjaelland'], ['jylland']],
-  ])('binds to the homes of the route, %j, and of the account, %j', (ofRoute, ofAccount, both) => {
-    const table = makeTable(makeAccount({ homeRegions: ofAccount }));
-    const { route } = table.admit(makeRoute({ homeRegions: ofRoute }), 'k-1').unwrap();
-    expect(route.homeRegions).toEqual(both);
-  });
+  ])(
+    'intersects the home regions of the route, %j, and of the account, %j',
+    (routeRegions, accountRegions, expected) => {
+      const table = makeTable(makeAccount({ homeRegions: accountRegions }));
+      const { route } = table.admit(makeRoute({ homeRegions: routeRegions }), 'k-1').unwrap();
+      expect(route.homeRegions).toEqual(expected);
+    },
+  );
 
-  it('refuses where no region may serve both', () => {
+  it('refuses if route and account have no common region', () => {
     const table = makeTable(makeAccount({ homeRegions: ['fyn'] }));
     const admitted = table.admit(makeRoute({ homeRegions: ['jylland'] }), 'k-1');
     expect(admitted.unwrapErr()).toBe('no-common-region');
   });
 
-  it('ranks by the account first, then by the route', () => {
+  it('combines priorities, account first', () => {
     const table = makeTable(
       makeAccount({ name: 'urgent', keys: ['u'], priority: 3 }),
       makeAccount({ name: 'other', keys: ['o'], priority: 5 }),
     );
-    const rank = (key: string, priority: number): number =>
+    const priorityOf = (key: string, priority: number): number =>
       table.admit(makeRoute({ priority }), key).unwrap().route.priority;
-    expect([rank('u', 0), rank('u', 2), rank('o', 0), rank('o', 2)]).toEqual([0, 2, 6, 8]);
+    expect([
+      priorityOf('u', 0),
+      priorityOf('u', 2),
+      priorityOf('o', 0),
+      priorityOf('o', 2),
+    ]).toEqual([0, 2, 6, 8]);
     expect(table.lowestPriority).toBe(8);
   });
 
-  it('leaves the routes’ ranks alone where all accounts are alike', () => {
+  it('keeps the priorities of routes if all accounts have the same priority', () => {
     const table = makeTable(makeAccount({ priority: 4 }));
     expect(table.admit(makeRoute({ priority: 1 }), 'k-1').unwrap().route.priority).toBe(1);
     expect(table.lowestPriority).toBe(2);
   });
 
-  it('makes the same route for an account once', () => {
+  it('caches the derived route of an account', () => {
     const table = makeTable(makeAccount());
     const route = makeRoute();
     expect(table.admit(route, 'k-1').unwrap().route).toBe(table.admit(route, 'k-2').unwrap().route);
@@ -80,13 +88,13 @@
 describe('clientAccountsSchema', () => {
   it.each([
     [
-      'a key of two accounts',
+      'a key shared by two accounts',
       [makeAccount(), makeAccount({ name: 'grower', keys: ['k-2'] })],
       '1.keys.0',
       '"haulier"',
     ],
     [
-      'a name twice',
+      'a duplicate name',
       [makeAccount(), makeAccount({ keys: [] })],
       '1.name',
       '"haulier" stands twice',
@@ -96,7 +104,7 @@
     ['a negative rate', [makeAccount({ requestsPerSecond: -2 })], '0.requestsPerSecond', 'got -2'],
     ['a negative burst', [makeAccount({ burst: -3 })], '0.burst', 'got -3'],
   ])(
-    'refuses %s, and names the place and the value but no key',
+    'rejects %s, and reports the position and value but no key',
     (_case, accounts, path, detail) => {
       const issues = clientAccountsSchema.safeParse(accounts).error?.issues ?? [];
       expect(issues.map((issue) => issue.path.join('.'))).toEqual([path]);
--- a/packages/routing/tests/accounts/quota-fleet.test.ts
+++ b/packages/routing/tests/accounts/quota-fleet.test.ts
@@ -3,14 +3,13 @@
 import { describe, expect, it } from 'vitest';
 
 /**
- * Limits that are kept by many hosts together, under the loads that press on them. Demand is told as a multiple
- * of the account's rate; ordinary demand is 0.62 of it, as where limits are set to 1.6 of the usual. News takes up
- * to 0.3 s, as in a rush, when it is told out of turn.
+ * Quotas shared by many hosts under critical demand. Demand is a multiple of the rate of the
+ * account; ordinary demand is 0.62 of it. Reports take up to 0.3 s.
  */
-const BOUND = { windowMilliseconds: 5_000, overage: 0.1, slack: 20 };
-const USUAL = 0.62;
-/** 7.5 times the usual: the strongest rush that one account was seen to make. */
-const RUSH = 7.5 * USUAL;
+const POLICY = { windowMilliseconds: 5_000, overage: 0.1, slack: 20 };
+const ORDINARY = 0.62;
+/** Surge to 7.5 times the ordinary demand. */
+const SURGE = 7.5 * ORDINARY;
 
 const limitOf = (perSecond: number): number => 6 * perSecond;
 const boundOf = (perSecond: number): number => 1.1 * limitOf(perSecond) + 20;
@@ -19,7 +18,7 @@
   return new QuotaFleet({
     hosts,
     account: makeLimitedAccount(perSecond),
-    bound: BOUND,
+    bound: POLICY,
     seed,
     makeWay: toldUse,
     digestMilliseconds: 100,
@@ -27,12 +26,12 @@
   });
 }
 
-/** Callers at all hosts alike. */
-const alike = (hosts: number): number[] => Array.from({ length: hosts }, () => 1);
-/** A sixth of the hosts has 30 times the callers of the others. */
+/** Equal demand at all hosts. */
+const evenly = (hosts: number): number[] => Array.from({ length: hosts }, () => 1);
+/** A sixth of the hosts has 30 times the demand of the others. */
 const uneven = (hosts: number): number[] =>
   Array.from({ length: hosts }, (_, host) => (host < hosts / 6 ? 30 : 1));
-/** All callers at one half of the hosts. */
+/** All demand at one half of the hosts. */
 const atHalf = (hosts: number, half: 0 | 1): number[] =>
   Array.from({ length: hosts }, (_, host) => (host % 2 === half ? 1 : 0));
 const atOne = (hosts: number): number[] =>
@@ -43,38 +42,38 @@
   [12, 300],
   [75, 40],
   [195, 300],
-])('an account’s limit over %i hosts, %i requests a second', (hosts, perSecond) => {
+])('account quota on %i hosts at %i requests per second', (hosts, perSecond) => {
   const within = (fleet: QuotaFleet): void => {
-    expect(fleet.mostIn(BOUND.windowMilliseconds)).toBeLessThanOrEqual(boundOf(perSecond));
+    expect(fleet.mostIn(POLICY.windowMilliseconds)).toBeLessThanOrEqual(boundOf(perSecond));
   };
 
   it.each([
-    ['alike', alike],
+    ['evenly distributed', evenly],
     ['uneven', uneven],
     ['at one host', atOne],
   ])('refuses nothing at ordinary demand, %s', (_case, weights) => {
     const fleet = makeFleet(hosts, perSecond, 1);
-    fleet.ask(USUAL * perSecond, weights(hosts));
+    fleet.ask(ORDINARY * perSecond, weights(hosts));
     fleet.run(12_000);
     expect(fleet.refused).toBe(0);
   });
 
   it.each([
-    ['alike', alike],
+    ['evenly distributed', evenly],
     ['uneven', uneven],
     ['at one host', atOne],
-  ])('is used up and not passed in a rush, %s', (_case, weights) => {
+  ])('is used up and not exceeded in a surge, %s', (_case, weights) => {
     const fleet = makeFleet(hosts, perSecond, 2);
-    fleet.ask(USUAL * perSecond, alike(hosts));
+    fleet.ask(ORDINARY * perSecond, evenly(hosts));
     fleet.run(8_000);
-    fleet.ask(RUSH * perSecond, weights(hosts));
+    fleet.ask(SURGE * perSecond, weights(hosts));
     fleet.run(14_000);
     within(fleet);
     const late = fleet.ran.filter((at) => at > 12_000).length;
     expect(late / (2 * limitOf(perSecond))).toBeGreaterThan(0.9);
   });
 
-  it('refuses under one in a thousand from the second second after all callers moved', () => {
+  it('refuses less than 0.1 % of requests one second after all callers moved', () => {
     const fleet = makeFleet(hosts, perSecond, 3);
     fleet.ask(0.9 * perSecond, atHalf(hosts, 0));
     fleet.run(8_000);
@@ -86,9 +85,9 @@
     expect(refused / (fleet.ran.length - before.ran + refused)).toBeLessThan(0.001);
   });
 
-  it('holds where all hosts are killed in a rush and start again within the window', () => {
+  it('is not exceeded when all hosts restart in a surge within one window', () => {
     const fleet = makeFleet(hosts, perSecond, 4);
-    fleet.ask(RUSH * perSecond, alike(hosts));
+    fleet.ask(SURGE * perSecond, evenly(hosts));
     fleet.run(8_000);
     fleet.kill(() => true);
     fleet.run(1_400);
@@ -97,9 +96,9 @@
     within(fleet);
   });
 
-  it('refuses little at ordinary demand after all hosts were killed', () => {
+  it('refuses few requests at ordinary demand after a restart of all hosts', () => {
     const fleet = makeFleet(hosts, perSecond, 5);
-    fleet.ask(USUAL * perSecond, alike(hosts));
+    fleet.ask(ORDINARY * perSecond, evenly(hosts));
     fleet.run(8_000);
     fleet.kill(() => true);
     fleet.run(1_400);
@@ -110,9 +109,9 @@
     expect(fleet.refused - before).toBeLessThan(0.01 * fleet.ran.length);
   });
 
-  it('holds where half of the hosts start again in a rush', () => {
+  it('is not exceeded when half of the hosts restart in a surge', () => {
     const fleet = makeFleet(hosts, perSecond, 6);
-    fleet.ask(RUSH * perSecond, alike(hosts));
+    fleet.ask(SURGE * perSecond, evenly(hosts));
     fleet.run(8_000);
     fleet.kill((host) => host % 2 === 0);
     fleet.run(2_000);
@@ -121,22 +120,22 @@
     within(fleet);
   });
 
-  it('holds where a third is cut off and a rush begins on both sides', () => {
+  it('is not exceeded when a third of the hosts is partitioned and a surge begins on both sides', () => {
     const fleet = makeFleet(hosts, perSecond, 7);
-    fleet.ask(USUAL * perSecond, alike(hosts));
+    fleet.ask(ORDINARY * perSecond, evenly(hosts));
     fleet.run(8_000);
     fleet.cut((host) => host % 3 === 0);
     fleet.run(500);
-    fleet.ask(RUSH * perSecond, alike(hosts));
+    fleet.ask(SURGE * perSecond, evenly(hosts));
     fleet.run(12_000);
     fleet.cut(() => false);
     fleet.run(6_000);
     within(fleet);
   });
 
-  it('is kept a window after it was lowered to a third', () => {
+  it('takes effect one window after it is lowered to a third', () => {
     const fleet = makeFleet(hosts, perSecond, 8);
-    fleet.ask(USUAL * perSecond, alike(hosts));
+    fleet.ask(ORDINARY * perSecond, evenly(hosts));
     fleet.run(8_000);
     fleet.setAccount(makeLimitedAccount(perSecond / 3));
     fleet.run(5_000);
@@ -146,55 +145,55 @@
   });
 });
 
-describe('an account’s limit', () => {
+describe('account quota', () => {
   const SEEDS = 1_000;
   const HOSTS = 12;
 
-  /** One disturbance of the fleet, drawn by chance. */
-  function disturb(fleet: QuotaFleet, random: SeededRandom, perSecond: number): void {
+  /** Injects one random fault or change of demand. */
+  function injectFault(fleet: QuotaFleet, random: SeededRandom, perSecond: number): void {
     const part = random.next();
-    const isStruck = (host: number): boolean =>
+    const isAffected = (host: number): boolean =>
       (host * 7 + Math.floor(part * HOSTS)) % HOSTS < part * HOSTS;
     switch (Math.floor(random.next() * 6)) {
       case 0:
-        fleet.kill(isStruck);
+        fleet.kill(isAffected);
         break;
       case 1:
         fleet.kill(() => true);
         break;
       case 2:
-        fleet.cut((host) => isStruck(host) && part < 0.5);
+        fleet.cut((host) => isAffected(host) && part < 0.5);
         break;
       case 3:
-        fleet.ask(RUSH * random.next() * perSecond, uneven(HOSTS));
+        fleet.ask(SURGE * random.next() * perSecond, uneven(HOSTS));
         break;
       case 4:
-        fleet.ask(RUSH * random.next() * perSecond, atHalf(HOSTS, part < 0.5 ? 0 : 1));
+        fleet.ask(SURGE * random.next() * perSecond, atHalf(HOSTS, part < 0.5 ? 0 : 1));
         break;
       default:
         fleet.cut(() => false);
     }
   }
 
-  it(`is never passed in ${SEEDS} series of kills, cuts, starts, rushes and moves`, () => {
-    const passed: string[] = [];
+  it(`is never exceeded in ${SEEDS} sequences of crashes, partitions, restarts, surges and moves`, () => {
+    const exceeded: string[] = [];
     for (let seed = 0; seed < SEEDS; seed++) {
       const random = new SeededRandom(seed);
       const perSecond = [12, 40, 120][seed % 3] ?? 12;
       const fleet = makeFleet(HOSTS, perSecond, seed);
-      fleet.ask(USUAL * perSecond, alike(HOSTS));
+      fleet.ask(ORDINARY * perSecond, evenly(HOSTS));
       fleet.run(3_000);
       for (let step = 0; step < 6; step++) {
-        disturb(fleet, random, perSecond);
+        injectFault(fleet, random, perSecond);
         fleet.run(1_000 + Math.floor(100 * random.next()) * 10);
         fleet.restart();
         fleet.run(Math.floor(300 * random.next()) * 10);
       }
-      const most = fleet.mostIn(BOUND.windowMilliseconds);
+      const most = fleet.mostIn(POLICY.windowMilliseconds);
       if (most > boundOf(perSecond)) {
-        passed.push(`seed ${seed}: ${most} of ${boundOf(perSecond)}`);
+        exceeded.push(`seed ${seed}: ${most} of ${boundOf(perSecond)}`);
       }
     }
-    expect(passed).toEqual([]);
+    expect(exceeded).toEqual([]);
   }, 120_000);
 });
--- a/packages/routing/tests/accounts/reported-counts.test.ts
+++ b/packages/routing/tests/accounts/reported-counts.test.ts
@@ -10,8 +10,8 @@
   return { clock, counts, of: (account = 'a') => counts.of(account, all) };
 }
 
-describe('HeldCounts', () => {
-  it('adds up what sources tell, the last of each', () => {
+describe('ReportedCounts', () => {
+  it('sums the last report of each source', () => {
     const { counts, of } = makeCounts();
     counts.record('one', { a: 40, b: 1 });
     counts.record('two', { a: 10 });
@@ -21,14 +21,14 @@
     expect(counts.sum((source) => source === 'one')).toEqual({ a: 35 });
   });
 
-  it('takes a small fall for arrivals by chance', () => {
+  it('attributes a small drop to random arrivals', () => {
     const { counts, of } = makeCounts();
     counts.record('one', { a: 40 });
     counts.record('one', { a: 24 });
     expect(of()).toBe(24);
   });
 
-  it('keeps what a source has forgotten for a whole window', async () => {
+  it('keeps lost counts of a source for a whole window', async () => {
     const { clock, counts, of } = makeCounts();
     counts.record('one', { a: 100 });
     await clock.advance(500);
@@ -42,7 +42,7 @@
     expect(of()).toBe(12);
   });
 
-  it('keeps no more than a source tells that has forgotten and tells more than before', async () => {
+  it('drops lost counts once the source reports more than before', async () => {
     const { clock, counts, of } = makeCounts();
     counts.record('one', { a: 50 });
     counts.record('one', { a: 0 });
@@ -52,7 +52,7 @@
     expect(of()).toBe(58);
   });
 
-  it('counts an account once that a source has forgotten and tells again', () => {
+  it('does not add lost counts to new ones of the same account', () => {
     const { counts, of } = makeCounts();
     counts.record('one', { a: 50 });
     counts.record('one', { a: 3 });
@@ -60,7 +60,7 @@
     expect(of()).toBe(50);
   });
 
-  it('counts with a silent source for one window, then less', async () => {
+  it('counts a silent source fully for one window, then less', async () => {
     const { clock, counts, of } = makeCounts();
     counts.record('one', { a: 40 });
     await clock.advance(5_000);
@@ -72,7 +72,7 @@
     expect(of()).toBe(0);
   });
 
-  it('keeps what a source used that has ended for one window', async () => {
+  it('keeps the counts of an ended source for one window', async () => {
     const { clock, counts, of } = makeCounts();
     counts.record('one', { a: 40 });
     counts.markEnded('one');
--- a/packages/routing/tests/cold-start-limiter.test.ts
+++ b/packages/routing/tests/cold-start-limiter.test.ts
@@ -2,23 +2,23 @@
 import { describe, expect, it } from 'vitest';
 import { ColdStartLimiter } from '../src/index.js';
 
-/** What the deployments allow: 1.5 times the rate and five requests, in any second. */
-const mostInASecond = (rate: number): number => rate * 1.5 + 5;
+/** Accepted requests in any second: 1.5 times the rate plus five. */
+const maxAccepted = (rate: number): number => rate * 1.5 + 5;
 
 function makeHosts(count: number): string[] {
   return Array.from({ length: count }, (_, index) => `host-${index}`);
 }
 
-/** Arrivals at one cold target, in milliseconds, where every host sends whenever it may. */
+/** Arrival times at one cold target, in milliseconds, while every host sends whenever it may. */
 async function arrivals(hostCount: number, rate: number): Promise<number[]> {
   const clock = new FakeClock();
   const hosts = makeHosts(hostCount);
-  const gates = hosts.map(() => new ColdStartLimiter(clock));
+  const limiters = hosts.map(() => new ColdStartLimiter(clock));
   const times: number[] = [];
   for (let step = 0; step < 150; step++) {
-    for (const [index, gate] of gates.entries()) {
+    for (const [index, limiter] of limiters.entries()) {
       const ownName = hosts[index] ?? '';
-      if (gate.tryAcquire({ target: 'target-1', requestsPerSecond: rate, ownName, hosts })) {
+      if (limiter.tryAcquire({ target: 'target-1', requestsPerSecond: rate, ownName, hosts })) {
         times.push(clock.now());
       }
     }
@@ -27,12 +27,12 @@
   return times;
 }
 
-function mostInOneSecond(times: readonly number[]): number {
+function maxPerSecond(times: readonly number[]): number {
   const counts = times.map((from) => times.filter((at) => at >= from && at < from + 1_000).length);
   return Math.max(...counts);
 }
 
-describe('ColdGate', () => {
+describe('ColdStartLimiter', () => {
   it.each([
     [1, 9],
     [12, 9],
@@ -40,21 +40,21 @@
     [400, 9],
     [12, 2],
     [12, 40],
-  ])('keeps the requests of %i hosts under what a target of rate %i bears', async (count, rate) => {
+  ])('keeps the requests of %i hosts within a target rate of %i', async (count, rate) => {
     const times = await arrivals(count, rate);
-    expect(mostInOneSecond(times)).toBeLessThanOrEqual(mostInASecond(rate));
+    expect(maxPerSecond(times)).toBeLessThanOrEqual(maxAccepted(rate));
     expect(times.length).toBeGreaterThan(0.4 * rate * 3);
   });
 
-  it('stays under it while hosts disagree about who is alive', () => {
+  it('keeps within the rate while hosts disagree about membership', () => {
     const clock = new FakeClock();
     const all = makeHosts(12);
-    let taken = 0;
+    let admitted = 0;
     for (const ownName of all) {
       const hosts = all.filter((name) => name === ownName || Number(name.slice(5)) % 2 === 0);
-      const demand = { target: 'target-1', requestsPerSecond: 9, ownName, hosts };
-      taken += new ColdStartLimiter(clock).tryAcquire(demand) ? 1 : 0;
+      const request = { target: 'target-1', requestsPerSecond: 9, ownName, hosts };
+      admitted += new ColdStartLimiter(clock).tryAcquire(request) ? 1 : 0;
     }
-    expect(taken).toBeLessThanOrEqual(mostInASecond(9));
+    expect(admitted).toBeLessThanOrEqual(maxAccepted(9));
   });
 });
--- a/packages/routing/tests/fixtures.ts
+++ b/packages/routing/tests/fixtures.ts
@@ -1,7 +1,10 @@
 import { makeTargetRecord } from '@ferrylock/test-utils';
 import { TargetState } from '../src/index.js';
 
-/** Targets named `target-0`, `target-1` and so on, one to a failure domain in turn. */
+/**
+ * Creates targets named `target-0`, `target-1` and so on, distributed over the failure domains in
+ * turn.
+ */
 export function makeTargets(
   count: number,
   failureDomains: readonly string[] = ['aarhus-hal'],
--- a/packages/routing/tests/limited-targets.test.ts
+++ b/packages/routing/tests/limited-targets.test.ts
@@ -3,13 +3,13 @@
 import { describe, expect, it } from 'vitest';
 import { NO_DISABLED_MECHANISMS, TargetLimits } from '../src/index.js';
 import type { ServiceTargets } from '../src/index.js';
-import { BORN, makeService, put, reached } from './two-regions.js';
+import { START_TIME, makeService, put, selectedTargets } from './two-regions.js';
 
 /**
- * Each way that leads to a target, with the targets of a service at the limit that they named. The host is alone, so that all of
- * a limit is its own; the figures do not matter here, since no way may lead past a limit that is used up.
+ * Covers every path that could select a target at its advertised limit: none may exceed a limit
+ * that is used up. There is one host, so the whole limit is its share.
  */
-/** Moments at which all objects are asked for. */
+/** Steps at which all objects are requested. */
 const STEPS = 40;
 const STEP_MILLISECONDS = 250;
 
@@ -26,43 +26,43 @@
   return { limits, ...makeService(clock, limits) };
 }
 
-/** The target names a limit of which nothing is left at first. */
+/** Advertises a limit that has no capacity at first. */
 function limit(service: ServiceTargets, id: string, perSecond = 1): void {
   service.targets.get(id)?.signals.limit.record(perSecond, { sentAt: 0, now: 0 });
 }
 
-describe('a target at the limit that it named', () => {
-  it('is no first choice, and gets its part again once there is room', async () => {
+describe('a target at its advertised limit', () => {
+  it('is not selected first, and gets requests again once it has capacity', async () => {
     const { clock, service } = makeLimitedService();
     ['a', 'b', 'c'].forEach((id) => {
       put(service, id);
     });
     limit(service, 'a');
-    expect(reached(service)).toEqual(new Set(['b', 'c']));
+    expect(selectedTargets(service)).toEqual(new Set(['b', 'c']));
     await clock.advance(2_000);
-    expect(reached(service)).toEqual(new Set(['a', 'b', 'c']));
-    expect(reached(service)).toEqual(new Set(['b', 'c']));
+    expect(selectedTargets(service)).toEqual(new Set(['a', 'b', 'c']));
+    expect(selectedTargets(service)).toEqual(new Set(['b', 'c']));
   });
 
-  it('is not retried at, nor tried where all others fail or are full', () => {
+  it('is not retried, nor tried when all others fail or are full', () => {
     const { clock, service } = makeLimitedService();
     ['a', 'b'].forEach((id) => {
       put(service, id);
     });
     limit(service, 'a');
-    expect(reached(service, { tried: new Set(['b']) })).toEqual(new Set([undefined]));
+    expect(selectedTargets(service, { tried: new Set(['b']) })).toEqual(new Set([undefined]));
     service.targets.get('b')?.recordFailure(clock.now());
-    expect(reached(service)).toEqual(new Set(['b']));
+    expect(selectedTargets(service)).toEqual(new Set(['b']));
     Object.assign(service.targets.get('b') ?? {}, { inFlight: 100 });
-    expect(reached(service)).toEqual(new Set([undefined]));
+    expect(selectedTargets(service)).toEqual(new Set([undefined]));
   });
 
   it.each([
-    ['its cap', 1, 100, 1],
+    ['its cold-start rate', 1, 100, 1],
     ['its limit', 100, 1, 1],
   ])(
-    'gets, while it is cold, what the stricter of both allows: %s',
-    async (_case, cap, named, most) => {
+    'is bound by the stricter limit during its cold start: %s',
+    async (_case, cap, advertised, max) => {
       const { clock, service } = makeLimitedService();
       put(service, 'a', { coldMilliseconds: 60_000 });
       service.settings = {
@@ -72,31 +72,31 @@
         coldMilliseconds: 60_000,
         coldRequestsPerSecond: cap,
       };
-      limit(service, 'a', named);
-      let moments = 0;
+      limit(service, 'a', advertised);
+      let steps = 0;
       for (let step = 0; step < STEPS; step++) {
         await clock.advance(STEP_MILLISECONDS);
-        moments += Number(reached(service).has('a'));
+        steps += Number(selectedTargets(service).has('a'));
       }
       const seconds = (STEPS * STEP_MILLISECONDS) / 1_000;
-      expect(moments).toBeGreaterThan(0);
-      expect(moments).toBeLessThanOrEqual(most * seconds + 1);
+      expect(steps).toBeGreaterThan(0);
+      expect(steps).toBeLessThanOrEqual(max * seconds + 1);
     },
   );
 
-  it('gets no uploads that are to stay near, nor what overflows from another region', () => {
+  it('gets no local uploads and no overflow from another region', () => {
     const { service } = makeLimitedService();
     put(service, 'near');
     put(service, 'far', { failureDomain: 'odense-hal' });
     limit(service, 'near');
     const upload = { route: makeRoute({ kind: 'upload' }) };
-    expect(reached(service, upload)).toEqual(new Set(['far']));
+    expect(selectedTargets(service, upload)).toEqual(new Set(['far']));
     limit(service, 'far');
     Object.assign(service.targets.get('near') ?? {}, { inFlight: 100 });
-    expect(reached(service, upload)).toEqual(new Set([undefined]));
+    expect(selectedTargets(service, upload)).toEqual(new Set([undefined]));
   });
 
-  it('gets nothing in its rest either, and the time until it takes work is the later of both', () => {
+  it('gets nothing while resting, and is available after the later of rest and limit', () => {
     const { clock, service } = makeLimitedService();
     put(service, 'a');
     put(service, 'b');
@@ -104,7 +104,7 @@
     service.targets.get('a')?.signals.recordRest(60_000, clock.now());
     expect(service.earliestAvailability(makeRoute())).toBeUndefined();
     limit(service, 'b', 0.5);
-    reached(service);
+    selectedTargets(service);
     const wait = service.earliestAvailability(makeRoute());
     expect(wait).toMatchObject({ resting: ['a'], limited: ['b'] });
     expect(wait?.milliseconds).toBeLessThan(60_000);
@@ -112,44 +112,44 @@
     expect(service.earliestAvailability(makeRoute())?.milliseconds).toBe(60_000);
   });
 
-  it('keeps its limit where its record goes and comes back, and a later start has none', () => {
+  it('keeps its limit when its record disappears and returns, unlike a later incarnation', () => {
     const { service } = makeLimitedService();
     put(service, 'a');
     limit(service, 'a');
     service.remove('a');
     put(service, 'a');
-    expect(reached(service)).toEqual(new Set([undefined]));
-    put(service, 'a', { bornAt: BORN + 1 });
-    expect(reached(service)).toEqual(new Set(['a']));
+    expect(selectedTargets(service)).toEqual(new Set([undefined]));
+    put(service, 'a', { bornAt: START_TIME + 1 });
+    expect(selectedTargets(service)).toEqual(new Set(['a']));
   });
 
-  it('is as any other once it names none', () => {
+  it('is unlimited once it revokes the limit', () => {
     const { service } = makeLimitedService();
     put(service, 'a');
     limit(service, 'a');
-    reached(service);
+    selectedTargets(service);
     service.targets.get('a')?.signals.limit.record(undefined, { sentAt: 1, now: 2 });
-    expect(reached(service)).toEqual(new Set(['a']));
+    expect(selectedTargets(service)).toEqual(new Set(['a']));
     expect(service.earliestAvailability(makeRoute())).toBeUndefined();
   });
 });
 
 describe('TargetLimits', () => {
-  it('tells nothing of targets that name no limit, and of others what is used and wanted', async () => {
+  it('reports usage and demand only of targets with a limit', async () => {
     const { clock, limits, service } = makeLimitedService();
     put(service, 'a');
     put(service, 'b');
-    reached(service);
+    selectedTargets(service);
     expect(limits.report()).toEqual({ used: {}, demand: {} });
     limit(service, 'a', 5);
-    reached(service);
+    selectedTargets(service);
     await clock.advance(1_000);
-    reached(service);
-    const { used, demand: asked } = limits.report();
-    const [start = ''] = Object.keys(used);
-    expect(start).toBe(service.targets.get('a')?.incarnationId);
-    expect(Object.keys(asked)).toEqual([start]);
-    expect(used[start]).toBeGreaterThan(0);
-    expect(asked[start]).toBeGreaterThan(used[start] ?? 0);
+    selectedTargets(service);
+    const { used, demand } = limits.report();
+    const [incarnationId = ''] = Object.keys(used);
+    expect(incarnationId).toBe(service.targets.get('a')?.incarnationId);
+    expect(Object.keys(demand)).toEqual([incarnationId]);
+    expect(used[incarnationId]).toBeGreaterThan(0);
+    expect(demand[incarnationId]).toBeGreaterThan(used[incarnationId] ?? 0);
   });
 });
--- a/packages/routing/tests/limits/adaptive-request-rate.test.ts
+++ b/packages/routing/tests/limits/adaptive-request-rate.test.ts
@@ -13,20 +13,23 @@
   return rate.perSecond;
 }
 
-describe('RecentRate', () => {
+describe('AdaptiveRequestRate', () => {
   it.each([
     [100, 10, 100],
     [100, 1_000, 1],
     [100, 20_000, 0.05],
-  ])('tells %i requests with %i ms between them as %d a second', async (count, gap, perSecond) => {
-    expect(await rateAfter(count, gap)).toBeCloseTo(perSecond);
-  });
+  ])(
+    'measures %i requests at intervals of %i ms as %d per second',
+    async (count, gap, perSecond) => {
+      expect(await rateAfter(count, gap)).toBeCloseTo(perSecond);
+    },
+  );
 
-  it('takes few requests to have come in four seconds at least', async () => {
+  it('spreads few requests over at least four seconds', async () => {
     expect(await rateAfter(2, 10)).toBe(0.5);
   });
 
-  it('falls once nobody asks any more, and is none after some of the times between requests', async () => {
+  it('decays without requests and is zero after a few intervals', async () => {
     const clock = new FakeClock();
     const rate = new AdaptiveRequestRate(clock);
     for (let request = 0; request < 8; request++) {
--- a/packages/routing/tests/mechanisms.test.ts
+++ b/packages/routing/tests/mechanisms.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { parseDisabledMechanisms } from '../src/index.js';
 
-describe('parseLeftOut', () => {
-  it('reads names divided by commas, and none', () => {
+describe('parseDisabledMechanisms', () => {
+  it('parses comma-separated names and the empty string', () => {
     expect([...parseDisabledMechanisms('told-load,ejection').unwrap()]).toEqual([
       'told-load',
       'ejection',
@@ -10,7 +10,7 @@
     expect([...parseDisabledMechanisms('').unwrap()]).toEqual([]);
   });
 
-  it('names what it expects where one is unknown', () => {
+  it('lists the valid names when one is unknown', () => {
     const error = parseDisabledMechanisms('told-load,luck').unwrapErr();
     expect(error).toContain('"luck"');
     expect(error).toContain('keys-at-home');
--- a/packages/routing/tests/overflow-budget.test.ts
+++ b/packages/routing/tests/overflow-budget.test.ts
@@ -3,33 +3,31 @@
 import { describe, expect, it } from 'vitest';
 import { maxStepPerSecond, OverflowBudget } from '../src/overflow-budget.js';
 
-const BOUND = { share: 0.15, windowMilliseconds: 2_000 };
+const LIMIT = { share: 0.15, windowMilliseconds: 2_000 };
 
-function makeAllowance(clock: FakeClock, ownName = 'host-1'): OverflowBudget {
-  return new OverflowBudget({ clock, bound: BOUND, ownName });
+function makeBudget(clock: FakeClock, ownName = 'host-1'): OverflowBudget {
+  return new OverflowBudget({ clock, bound: LIMIT, ownName });
 }
 
 /**
- * Hosts of one region that share its requests; all want to leave it whenever they may.
+ * Simulates hosts of one region that overflow whenever they may.
  *
- * @returns the largest part of the requests of any two seconds that left it, and of all requests
+ * @returns the largest share of overflows in any two seconds, and the share over the whole run
  */
 async function playRegion(hosts: number, perSecond: number, waitSeconds: number) {
   const clock = new FakeClock();
-  const allowances = Array.from({ length: hosts }, (_, index) =>
-    makeAllowance(clock, `host-${index}`),
-  );
+  const budgets = Array.from({ length: hosts }, (_, index) => makeBudget(clock, `host-${index}`));
   const random = new SeededRandom(7);
   const windows: { requests: number; overflows: number }[] = [];
   for (let second = 0; second < 20; second++) {
     const window = { requests: 0, overflows: 0 };
     for (let step = 0; step < perSecond; step++) {
-      const allowance = allowances[randomIndex(random, hosts)];
-      allowance?.setRegion(perSecond, hosts);
-      allowance?.recordRequest();
+      const budget = budgets[randomIndex(random, hosts)];
+      budget?.setRegion(perSecond, hosts);
+      budget?.recordRequest();
       window.requests++;
-      if (second >= waitSeconds && allowance?.hasRoom === true) {
-        allowance.recordOverflow();
+      if (second >= waitSeconds && budget?.hasRoom === true) {
+        budget.recordOverflow();
         window.overflows++;
       }
       await clock.advance(1_000 / perSecond);
@@ -47,44 +45,44 @@
   return { most: Math.max(...shares), used };
 }
 
-describe('the bound on shifts', () => {
-  // 12, 65, 195 and 300 hosts in three regions; the last two have two requests a second each.
+describe('OverflowBudget', () => {
+  // Fleets of 12, 65, 195 and 300 hosts in three regions.
   it.each([
     [4, 120],
     [22, 400],
     [65, 400],
     [100, 400],
   ])(
-    'is used and kept by %i hosts of a region with %i requests a second, also all at once',
+    'is used and not exceeded by %i hosts of a region at %i requests per second, also with sudden overflow',
     async (hosts, perSecond) => {
       const steady = await playRegion(hosts, perSecond, 0);
       const sudden = await playRegion(hosts, perSecond, 10);
       expect(steady.used).toBeGreaterThan(0.02);
-      expect(Math.max(steady.most, sudden.most)).toBeLessThan(BOUND.share);
+      expect(Math.max(steady.most, sudden.most)).toBeLessThan(LIMIT.share);
     },
   );
 
-  it('leaves room beside what steps of placement and overflows use up', async () => {
+  it('does not exceed the shift limit together with placement steps', async () => {
     const clock = new FakeClock();
-    const allowance = makeAllowance(clock);
+    const budget = makeBudget(clock);
     let overflows = 0;
     for (let request = 0; request < 400; request++) {
-      allowance.recordRequest();
-      if (allowance.hasRoom) {
-        allowance.recordOverflow();
+      budget.recordRequest();
+      if (budget.hasRoom) {
+        budget.recordOverflow();
         overflows++;
       }
     }
-    const bySteps = (maxStepPerSecond(BOUND) * BOUND.windowMilliseconds) / 1_000;
+    const bySteps = (maxStepPerSecond(LIMIT) * LIMIT.windowMilliseconds) / 1_000;
     expect(overflows).toBeGreaterThan(0);
-    expect(overflows / 400 + bySteps).toBeLessThan(BOUND.share);
+    expect(overflows / 400 + bySteps).toBeLessThan(LIMIT.share);
     await clock.advance(2_500);
-    expect(allowance.hasRoom).toBe(false);
+    expect(budget.hasRoom).toBe(false);
   });
 
-  it('gives few requests no overflow', () => {
-    const allowance = makeAllowance(new FakeClock());
-    allowance.recordRequest();
-    expect(allowance.hasRoom).toBe(false);
+  it('allows no overflow for few requests', () => {
+    const budget = makeBudget(new FakeClock());
+    budget.recordRequest();
+    expect(budget.hasRoom).toBe(false);
   });
 });
--- a/packages/routing/tests/pick-weighted-service.test.ts
+++ b/packages/routing/tests/pick-weighted-service.test.ts
@@ -14,17 +14,17 @@
   return count / REQUESTS;
 }
 
-describe('chooseShare', () => {
+describe('pickWeightedService', () => {
   it.each([
     ['b', { a: 90, b: 10 }, 0.1],
     ['b', { a: 1, b: 1 }, 0.5],
     ['c', { a: 2, b: 5, c: 3 }, 0.3],
     ['a', { a: 0, b: 4 }, 0],
-  ])('gives %s of %o its share', (service, weights, share) => {
+  ])('gives %s of %o its weight', (service, weights, share) => {
     expect(Math.abs(shareOf(service, weights) - share)).toBeLessThan(0.02);
   });
 
-  it('gives the same text the same service', () => {
+  it('maps the same text to the same service', () => {
     const route = makeRoute({
       shares: [
         { service: 'a', weight: 1 },
@@ -34,7 +34,7 @@
     expect(pickWeightedService(route, 'x')).toBe(pickWeightedService(route, 'x'));
   });
 
-  it('moves only what a change of weights requires', () => {
+  it('moves as few texts as a change of weights requires', () => {
     const before = makeRoute({
       shares: [
         { service: 'a', weight: 9 },
--- a/packages/routing/tests/processing-times.test.ts
+++ b/packages/routing/tests/processing-times.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { ProcessingTimes } from '../src/index.js';
 
-describe('WorkTimes', () => {
-  it('tells work on known objects from work on others by who had the object before', () => {
+describe('ProcessingTimes', () => {
+  it('distinguishes hits from misses by whether the target had the object before', () => {
     const times = new ProcessingTimes();
     expect(times.hitMilliseconds).toBeUndefined();
     times.record(360, false);
@@ -12,7 +12,7 @@
     expect(times.missPenaltyMilliseconds).toBeCloseTo(252);
   });
 
-  it('takes a quick answer on an object new to this host for one that others made known', () => {
+  it('counts a fast response as a hit even if this host did not expect one', () => {
     const times = new ProcessingTimes();
     times.record(360, false);
     times.record(100, true);
@@ -21,10 +21,10 @@
     expect(times.missPenaltyMilliseconds).toBeCloseTo(360 - (times.hitMilliseconds ?? NaN));
   });
 
-  it('follows work that takes longer throughout', () => {
+  it('follows a general increase of processing times', () => {
     const times = new ProcessingTimes();
     times.record(100, true);
-    for (let answer = 0; answer < 500; answer++) {
+    for (let response = 0; response < 500; response++) {
       times.record(300, true);
     }
     expect(times.hitMilliseconds).toBeCloseTo(300, 0);
--- a/packages/routing/tests/region-placement.test.ts
+++ b/packages/routing/tests/region-placement.test.ts
@@ -8,13 +8,13 @@
   readonly leftOut: DisabledMechanisms;
 }
 
-/** Targets in unequal numbers for callers who ask for as much in each region. */
+/** Regions with unequal slots and equal demand. */
 const UNEQUAL: readonly RegionCapacity[] = [
   { region: 'small', slots: 10, work: undefined },
   { region: 'middle', slots: 40, work: undefined },
   { region: 'large', slots: 50, work: undefined },
 ];
-/** Longer than the parts are taken as they come out. */
+/** Time by which the shares have settled. */
 const SETTLED = 5_000;
 
 function makePlacement(
@@ -37,7 +37,7 @@
 }
 
 describe('RegionPlacement', () => {
-  it('takes callers for equally demanding while nothing is known of them', () => {
+  it('presumes equal demand of all regions while it is unknown', () => {
     const placement = makePlacement('small');
     placement.update(UNEQUAL, 0);
     expect(placement.homeShare('small')).toBeCloseTo(0.3);
@@ -45,7 +45,7 @@
     expect(placement.homeShare('large')).toBe(1);
   });
 
-  it('sends what a region cannot carry to the others in proportion to their room', () => {
+  it('distributes excess keys in proportion to the spare capacity of other regions', () => {
     const placement = makePlacement('small');
     placement.update(UNEQUAL, 0);
     expect(shareOf(placement, 'small')).toBeCloseTo(0.3, 1);
@@ -55,7 +55,7 @@
     );
   });
 
-  it('gives each key the same order at all hosts of a region, whole and without repeats', () => {
+  it('ranks all regions once for each key, the same on all hosts of a region', () => {
     const [one, other] = [makePlacement('small'), makePlacement('small')];
     for (const placement of [one, other]) {
       placement.update(UNEQUAL, 0);
@@ -72,20 +72,20 @@
     expect(placement.homeShare('small')).toBe(1);
   });
 
-  it('keeps as many keys as its targets carry at present demand', () => {
+  it('serves as many keys locally as its capacity allows', () => {
     const placement = makePlacement('small');
     placement.update(withWork({ small: 20, middle: 10, large: 10 }), 0);
     expect(placement.homeShare('small')).toBeCloseTo(5 / 20);
   });
 
-  it('fills regions evenly where all are busy', () => {
+  it('equalizes utilization when all regions are busy', () => {
     const placement = makePlacement('small');
     placement.update(withWork({ small: 30, middle: 30, large: 30 }), 0);
     expect(placement.homeShare('small')).toBeCloseTo((0.9 * 10) / 30);
     expect(placement.homeShare('large')).toBe(1);
   });
 
-  it('follows demand by no more than is allowed in a second, once it has settled', () => {
+  it('limits the change per second once it has settled', () => {
     const placement = makePlacement('small', { mostStepPerSecond: 0.05 });
     placement.update(withWork({ small: 4, middle: 4, large: 4 }), 0);
     placement.update(withWork({ small: 4, middle: 4, large: 4 }), SETTLED);
@@ -95,7 +95,7 @@
     expect(placement.homeShare('small')).toBeCloseTo(0.9);
   });
 
-  it('moves few keys when demand moves a little', () => {
+  it('moves few keys on small changes of demand', () => {
     const placement = makePlacement('small', { mostStepPerSecond: 1 });
     placement.update(withWork({ small: 20, middle: 20, large: 20 }), 0);
     const before = KEYS.map((key) => placement.regionOrder(key)[0]);
@@ -104,7 +104,7 @@
     expect(moved.length / KEYS.length).toBeLessThan(0.06);
   });
 
-  it('puts a region last whose targets are all unusable', () => {
+  it('ranks a region without available targets last', () => {
     const placement = makePlacement('small');
     placement.update(UNEQUAL, 0);
     placement.update(
@@ -117,7 +117,7 @@
     }
   });
 
-  it('spreads keys over all regions by their room where keys at home are left out', () => {
+  it('distributes keys over all regions by capacity if keys-at-home is disabled', () => {
     const placement = makePlacement('small', { leftOut: new Set(['keys-at-home']) });
     placement.update(UNEQUAL, 0);
     expect(shareOf(placement, 'small')).toBeCloseTo(0.1, 1);
--- a/packages/routing/tests/request-rate.test.ts
+++ b/packages/routing/tests/request-rate.test.ts
@@ -4,7 +4,7 @@
 import { RequestRate } from '../src/index.js';
 
 describe('RequestRate', () => {
-  it('is right from the first moments, and forgets what is long ago', async () => {
+  it('is accurate from the start and drops expired requests', async () => {
     const clock = new FakeClock();
     const rate = new RequestRate(clock);
     await clock.advance(30_000);
@@ -19,7 +19,7 @@
     expect(rate.perSecond).toBe(0);
   });
 
-  it('rises to a new rate within its stretch after a silence, and not above it', async () => {
+  it('rises to a new rate within one window after silence, without overshooting', async () => {
     const clock = new FakeClock();
     const rate = new RequestRate(clock);
     rate.record();
@@ -34,7 +34,7 @@
     expect(seen[220]).toBeGreaterThan(80);
   });
 
-  it('adds up over many hosts that have less than one request a second each', async () => {
+  it('sums correctly over many hosts with less than one request per second each', async () => {
     const clock = new FakeClock();
     const random = new SeededRandom(3);
     const hosts = Array.from({ length: 100 }, () => new RequestRate(clock));
@@ -42,7 +42,7 @@
     for (let step = 0; step < 300; step++) {
       await clock.advance(50);
       for (const host of hosts) {
-        // 0.2 requests a second.
+        // 0.2 requests per second.
         if (random.next() < 0.01) {
           host.record();
         }
--- a/packages/routing/tests/retry-budget.test.ts
+++ b/packages/routing/tests/retry-budget.test.ts
@@ -2,11 +2,11 @@
 import { describe, expect, it } from 'vitest';
 import { RetryBudget, SlidingWindowCounter } from '../src/index.js';
 
-const BOUND = { ratio: 0.2, slack: 64, windowMilliseconds: 10_000 };
+const SETTINGS = { ratio: 0.2, slack: 64, windowMilliseconds: 10_000 };
 const HOSTS = 12;
 
-describe('SlidingCount', () => {
-  it('forgets what lies a window back', async () => {
+describe('SlidingWindowCounter', () => {
+  it('drops events older than one window', async () => {
     const clock = new FakeClock();
     const count = new SlidingWindowCounter(clock, 10_000);
     count.add(3);
@@ -20,31 +20,31 @@
   });
 });
 
-describe('RetryAllowance', () => {
-  it('keeps all hosts together under the bound, however many ask for all they can', () => {
+describe('RetryBudget', () => {
+  it('keeps all hosts together within the limit while they retry as often as allowed', () => {
     const clock = new FakeClock();
-    const allowances = Array.from({ length: HOSTS }, () => new RetryBudget(clock, BOUND));
+    const budgets = Array.from({ length: HOSTS }, () => new RetryBudget(clock, SETTINGS));
     let requests = 0;
     let retries = 0;
-    for (const [index, allowance] of allowances.entries()) {
+    for (const [index, budget] of budgets.entries()) {
       for (let request = 0; request < 10 * index; request++) {
-        allowance.recordRequest();
+        budget.recordRequest();
         requests++;
       }
-      while (allowance.tryAcquire(HOSTS)) {
+      while (budget.tryAcquire(HOSTS)) {
         retries++;
       }
     }
-    expect(retries).toBeLessThanOrEqual(BOUND.ratio * requests + BOUND.slack);
-    expect(retries).toBeGreaterThan(0.6 * (BOUND.ratio * requests + BOUND.slack));
+    expect(retries).toBeLessThanOrEqual(SETTINGS.ratio * requests + SETTINGS.slack);
+    expect(retries).toBeGreaterThan(0.6 * (SETTINGS.ratio * requests + SETTINGS.slack));
   });
 
-  it('gives a host that has just started no more than its part of the slack', () => {
-    const allowance = new RetryBudget(new FakeClock(), BOUND);
+  it('gives a host that just started only its share of the slack', () => {
+    const budget = new RetryBudget(new FakeClock(), SETTINGS);
     let retries = 0;
-    while (allowance.tryAcquire(HOSTS)) {
+    while (budget.tryAcquire(HOSTS)) {
       retries++;
     }
-    expect(retries).toBeLessThanOrEqual(BOUND.slack / HOSTS);
+    expect(retries).toBeLessThanOrEqual(SETTINGS.slack / HOSTS);
   });
 });
--- a/packages/routing/tests/route-table.test.ts
+++ b/packages/routing/tests/route-table.test.ts
@@ -18,7 +18,7 @@
     ['gate.example', '/orders/7', 'gate'],
     ['gate.example', '/other', undefined],
     ['unknown.example', '/', undefined],
-  ])('takes %s%s to %s', (host, path, name) => {
+  ])('routes %s%s to %s', (host, path, name) => {
     expect(table.find(host, path)?.name).toBe(name);
   });
 });
--- a/packages/routing/tests/service-targets.test.ts
+++ b/packages/routing/tests/service-targets.test.ts
@@ -36,7 +36,7 @@
   }
 }
 
-function choose(service: ServiceTargets, key: string): TargetState | undefined {
+function select(service: ServiceTargets, key: string): TargetState | undefined {
   return service.select({
     route: makeRoute(),
     key,
@@ -49,27 +49,27 @@
 
 function homeShareOf(service: ServiceTargets): number {
   const near = KEYS.filter(
-    (key) => choose(service, key)?.record.failureDomain === 'aarhus-hal',
+    (key) => select(service, key)?.record.failureDomain === 'aarhus-hal',
   ).length;
   return near / KEYS.length;
 }
 
 describe('ServiceTargets', () => {
-  it('keeps the part of the keys at home that the region’s slots allow', () => {
+  it('serves the share of keys locally that the slots of the region allow', () => {
     const { service } = makeService();
     addTargets(service, 'aarhus-hal', 2);
     addTargets(service, 'odense-hal', 6);
     expect(homeShareOf(service)).toBeCloseTo(0.5, 1);
   });
 
-  it('keeps more at home where callers of the region ask for less', async () => {
+  it('serves more keys locally when the demand of the region is lower', async () => {
     const { service, clock } = makeService();
     addTargets(service, 'aarhus-hal', 2);
     addTargets(service, 'odense-hal', 6);
-    const target = choose(service, 'object-1');
-    const answered = { route: makeRoute(), key: 'object-1', milliseconds: 100, loadPerSlot: 0 };
+    const target = select(service, 'object-1');
+    const response = { route: makeRoute(), key: 'object-1', milliseconds: 100, loadPerSlot: 0 };
     if (target !== undefined) {
-      service.recordResponse(target, answered);
+      service.recordResponse(target, response);
     }
     for (let second = 0; second < 20; second++) {
       service.updatePlacement((region) => (region === 'jylland' ? 10 : 40));
@@ -78,7 +78,7 @@
     expect(homeShareOf(service)).toBe(1);
   });
 
-  it('counts the slots of an emptied failure domain for nothing', () => {
+  it('ignores the slots of an evacuated failure domain', () => {
     const { service } = makeService('aarhus-hal');
     addTargets(service, 'aarhus-hal', 4);
     addTargets(service, 'odense-hal', 4);
@@ -86,16 +86,16 @@
     expect(homeShareOf(service)).toBe(0);
   });
 
-  it('uses cold targets where there are no others', async () => {
+  it('uses cold targets when there are no others', async () => {
     const { service, clock } = makeService();
     const record = { id: 'cold', failureDomain: 'odense-hal', coldMilliseconds: 3_000 };
     service.put(makeTargetRecord(record));
     service.updatePlacement(() => 10);
     await clock.advance(1_000);
-    expect(choose(service, 'object-1')?.id).toBe('cold');
+    expect(select(service, 'object-1')?.id).toBe('cold');
   });
 
-  it('counts no request as leaving its region that is to stay near its caller', () => {
+  it('does not count uploads served in the region of their caller as overflow', () => {
     const { service, overflows } = makeService();
     addTargets(service, 'aarhus-hal', 1);
     addTargets(service, 'odense-hal', 9);
@@ -113,7 +113,7 @@
     expect(overflows.hasRoom).toBe(true);
   });
 
-  it('keeps uploads near their caller only as far as their region can carry them', () => {
+  it('serves uploads in the region of their caller only up to its capacity', () => {
     const { service } = makeService();
     addTargets(service, 'aarhus-hal', 1);
     addTargets(service, 'odense-hal', 9);
@@ -128,27 +128,28 @@
       }),
     );
     const near = chosen.filter((target) => target?.record.failureDomain === 'aarhus-hal').length;
-    // Its tenth of the slots carries a fifth of the keys at the load of all, and 1.7 times that at most.
+    // The region has a tenth of the slots: a fifth of the keys at even utilization, and at most 1.7
+    // times that.
     expect(near / KEYS.length).toBeGreaterThan(0.2);
     expect(near / KEYS.length).toBeLessThan(0.45);
   });
 
-  it('tells callers to come back when a full target has worked off what it has', () => {
+  it('estimates the time in which a full target works off its backlog', () => {
     const { service } = makeService();
     addTargets(service, 'aarhus-hal', 2);
     const route = makeRoute();
     expect(service.backlogMilliseconds(route, 0)).toBeUndefined();
-    const target = choose(service, 'object-1');
+    const target = select(service, 'object-1');
     if (target === undefined) {
       throw new Error('expected a target');
     }
     service.recordResponse(target, { route, key: 'object-1', milliseconds: 100, loadPerSlot: 0 });
-    const most = maxLoadPerSlot({ route, processingMilliseconds: 100, lowestPriority: 0 });
-    expect(service.backlogMilliseconds(route, 0)).toBeCloseTo(100 * most);
+    const max = maxLoadPerSlot({ route, processingMilliseconds: 100, lowestPriority: 0 });
+    expect(service.backlogMilliseconds(route, 0)).toBeCloseTo(100 * max);
   });
 });
 
-describe('another start of a target under its id', () => {
+describe('new incarnation of a target with the same id', () => {
   const first = makeTargetRecord({ bornAt: 1_000, sequence: 900 });
 
   function setUpFirst() {
@@ -156,12 +157,12 @@
     service.put(first);
     const target = service.targets.get(first.id);
     if (target === undefined) {
-      throw new Error('the target is not known');
+      throw new Error('target not found');
     }
     return { clock, service, target };
   }
 
-  it('has nothing of what was known of the one before', () => {
+  it('inherits no state of the previous one', () => {
     const { clock, service, target } = setUpFirst();
     const now = clock.now();
     target.signals.recordLeaving();
@@ -177,59 +178,59 @@
     expect(next?.load(now)).toBe(0);
     expect(next?.isEjected(now)).toBe(false);
     expect(next?.hasCached('object-1', now)).toBe(false);
-    expect(choose(service, 'object-1')).toBe(next);
+    expect(select(service, 'object-1')).toBe(next);
   });
 
-  it('is cold from its first moment, whatever was sent to the one before', () => {
+  it('is cold from the start', () => {
     const { service } = setUpFirst();
     service.put({ ...first, bornAt: 2_000, sequence: 1, coldMilliseconds: 3_000 });
-    expect(choose(service, 'object-1')?.isCold(0)).toBe(true);
+    expect(select(service, 'object-1')?.isCold(0)).toBe(true);
   });
 
   it.each([
-    ['an earlier start', { bornAt: 999, sequence: 5_000 }],
-    ['the same start, written earlier', { sequence: 899 }],
-  ])('is no news by a record of %s', (_case, changes) => {
+    ['an earlier incarnation', { bornAt: 999, sequence: 5_000 }],
+    ['the same incarnation, written earlier', { sequence: 899 }],
+  ])('treats a record of %s as stale', (_case, changes) => {
     const { service } = setUpFirst();
     expect(service.isStale({ ...first, ...changes, state: 'draining' })).toBe(true);
   });
 
   it.each([
-    ['a later start', { bornAt: 1_001, sequence: 1 }],
-    ['the same start, written later', { sequence: 901 }],
-    ['the same start, written at the same time', {}],
+    ['a later incarnation', { bornAt: 1_001, sequence: 1 }],
+    ['the same incarnation, written later', { sequence: 901 }],
+    ['the same incarnation, written at the same time', {}],
     ['another target', { id: 'target-2', bornAt: 1 }],
-  ])('is news by a record of %s', (_case, changes) => {
+  ])('does not treat a record of %s as stale', (_case, changes) => {
     const { service } = setUpFirst();
     expect(service.isStale({ ...first, ...changes })).toBe(false);
   });
 
-  it('keeps its place in each key’s order, so that keys do not move', () => {
+  it('keeps its rank for each key, so that keys do not move', () => {
     const { service } = makeService();
     addTargets(service, 'aarhus-hal', 8);
-    const before = KEYS.map((key) => choose(service, key)?.id);
+    const before = KEYS.map((key) => select(service, key)?.id);
     for (const { record } of [...service.targets.values()]) {
       service.put({ ...record, bornAt: 2_000 });
     }
-    expect(KEYS.map((key) => choose(service, key)?.id)).toEqual(before);
+    expect(KEYS.map((key) => select(service, key)?.id)).toEqual(before);
   });
 
-  it('is taken for the same where targets do not tell when they began', () => {
+  it('is not detected if targets do not report their start time', () => {
     const { service } = makeService();
     service.put(makeTargetRecord());
     expect(service.put(makeTargetRecord({ sequence: 1 }))).toBe('updated');
   });
 
-  it('does not free a start whose record said that it leaves, when an older record of it comes back after its own had gone', () => {
+  it('stays draining when an older record returns after its removal', () => {
     const { service } = makeService();
-    const start = { id: 'i-1', bornAt: 1_000 };
-    service.put(makeTargetRecord({ ...start, sequence: 5 }));
-    service.put(makeTargetRecord({ ...start, sequence: 9, state: 'draining' }));
+    const incarnation = { id: 'i-1', bornAt: 1_000 };
+    service.put(makeTargetRecord({ ...incarnation, sequence: 5 }));
+    service.put(makeTargetRecord({ ...incarnation, sequence: 9, state: 'draining' }));
     service.remove('i-1');
-    service.put(makeTargetRecord({ ...start, sequence: 5 }));
+    service.put(makeTargetRecord({ ...incarnation, sequence: 5 }));
     expect(service.targets.get('i-1')?.leaving).toBe(true);
-    expect(choose(service, 'object-1')).toBeUndefined();
-    service.put(makeTargetRecord({ ...start, bornAt: 2_000 }));
+    expect(select(service, 'object-1')).toBeUndefined();
+    service.put(makeTargetRecord({ ...incarnation, bornAt: 2_000 }));
     expect(service.targets.get('i-1')?.leaving).toBe(false);
   });
 });
--- a/packages/routing/tests/sliding-window-counter.test.ts
+++ b/packages/routing/tests/sliding-window-counter.test.ts
@@ -2,23 +2,23 @@
 import { describe, expect, it } from 'vitest';
 import { SlidingWindowCounter } from '../src/index.js';
 
-describe('SlidingCount', () => {
-  it('counts at least what came in the window, and at most one bucket more', async () => {
+describe('SlidingWindowCounter', () => {
+  it('counts all events of the window, less at most one bucket', async () => {
     const clock = new FakeClock();
     const count = new SlidingWindowCounter(clock, 1_000, 10);
-    const came: number[] = [];
+    const times: number[] = [];
     for (let step = 0; step < 300; step++) {
       await clock.advance(37);
-      came.push(clock.now());
+      times.push(clock.now());
       count.add();
       const inLast = (milliseconds: number): number =>
-        came.filter((at) => at > clock.now() - milliseconds).length;
+        times.filter((at) => at > clock.now() - milliseconds).length;
       expect(count.total).toBeGreaterThanOrEqual(inLast(900));
       expect(count.total).toBeLessThanOrEqual(inLast(1_000) + 1);
     }
   });
 
-  it('takes back what did not happen, and forgets all after a silence', async () => {
+  it('undoes counts, and drops all after silence', async () => {
     const clock = new FakeClock();
     const count = new SlidingWindowCounter(clock, 1_000);
     count.add(3);
--- a/packages/routing/tests/suspects/suspect-table.test.ts
+++ b/packages/routing/tests/suspects/suspect-table.test.ts
@@ -1,6 +1,7 @@
 /**
- * Load: a popular look-up, and some ten others, are at a target whenever one ends; a request that ends targets comes
- * at any host. What hosts tell one another of it arrives late, twice, and in any order.
+ * Demand: a popular lookup and about ten other requests are at a target whenever one crashes, and a
+ * request that crashes targets arrives at any host. Reports of peers arrive late, twice, and in any
+ * order.
  */
 import { FakeClock } from '@ferrylock/test-utils';
 import { SeededRandom, shuffled } from '@ferrylock/utils';
@@ -14,59 +15,59 @@
   return { clock, table: new SuspectTable(clock) };
 }
 
-function endAll(table: SuspectTable, fingerprint: string, targets: readonly string[]): void {
+function crashAll(table: SuspectTable, fingerprint: string, targets: readonly string[]): void {
   for (const target of targets) {
     table.recordCrash(fingerprint, target);
   }
 }
 
 describe('SuspectTable', () => {
-  it('suspects a request from the third target that ends under it', () => {
+  it('marks a request as a suspect from the third crash', () => {
     const { table } = setUp();
-    endAll(table, 'bad', ['a', 'b']);
+    crashAll(table, 'bad', ['a', 'b']);
     expect(table.isSuspect('bad')).toBe(false);
-    endAll(table, 'bad', ['c']);
+    crashAll(table, 'bad', ['c']);
     expect(table.isSuspect('bad')).toBe(true);
     expect(table.suspects).toEqual(['bad']);
   });
 
-  it('counts each start of a target once, whoever saw its end', () => {
+  it('counts each incarnation once, whichever host observed the crash', () => {
     const { table } = setUp();
-    endAll(table, 'bad', ['a', 'b', 'a']);
+    crashAll(table, 'bad', ['a', 'b', 'a']);
     table.merge([
       { fingerprint: 'bad', crashes: [{ target: 'a', ageMilliseconds: 9, responses: 0 }] },
     ]);
     expect(table.crashesOf('bad')).toEqual(['a', 'b']);
   });
 
-  it('lets a request in again once it has been answered twice, or in a trial', () => {
+  it('clears a suspect after two responses, or one that counts as two', () => {
     const { table } = setUp();
-    endAll(table, 'look-up', ['a', 'b', 'c']);
+    crashAll(table, 'look-up', ['a', 'b', 'c']);
     expect(table.recordResponse('look-up')).toBe(true);
     expect(table.isSuspect('look-up')).toBe(true);
     expect(table.recordResponse('look-up')).toBe(true);
     expect(table.isSuspect('look-up')).toBe(false);
-    endAll(table, 'look-up', ['d', 'e']);
+    crashAll(table, 'look-up', ['d', 'e']);
     expect(table.isSuspect('look-up')).toBe(false);
-    endAll(table, 'look-up', ['f']);
+    crashAll(table, 'look-up', ['f']);
     expect(table.crashesOf('look-up')).toEqual(['d', 'e', 'f']);
     table.recordResponse('look-up', RESPONSES_TO_CLEAR);
     expect(table.crashesOf('look-up')).toEqual([]);
   });
 
-  it('takes an end back whose target lives', () => {
+  it('clears a crash whose target is alive', () => {
     const { table } = setUp();
-    endAll(table, 'one', ['a', 'b', 'c']);
-    endAll(table, 'two', ['a']);
+    crashAll(table, 'one', ['a', 'b', 'c']);
+    crashAll(table, 'two', ['a']);
     table.recordAlive('a');
     expect(table.crashesOf('one')).toEqual(['b', 'c']);
     expect(table.crashesOf('two')).toEqual([]);
   });
 
-  it('does not count again what an answer took back, however late others tell of it', () => {
+  it('does not restore cleared crashes from late reports', () => {
     const { clock, table } = setUp();
     const late = new SuspectTable(clock);
-    endAll(table, 'look-up', ['a', 'b', 'c']);
+    crashAll(table, 'look-up', ['a', 'b', 'c']);
     late.merge(table.report('all'));
     table.recordResponse('look-up', RESPONSES_TO_CLEAR);
     table.merge(late.report('all'));
@@ -75,7 +76,7 @@
     expect(late.isSuspect('look-up')).toBe(false);
   });
 
-  it('comes to the same at every host, in whatever order and however often news comes', async () => {
+  it('converges on all hosts regardless of the order and repetition of reports', async () => {
     for (let seed = 1; seed <= 200; seed++) {
       const clock = new FakeClock();
       const random = new SeededRandom(seed);
@@ -90,8 +91,8 @@
         } else {
           one?.recordCrash('look-up', target);
         }
-        const told = one?.report('all') ?? [];
-        messages.push(() => other?.merge(told));
+        const reports = one?.report('all') ?? [];
+        messages.push(() => other?.merge(reports));
       }
       for (const deliver of shuffled(random, [...messages, ...messages])) {
         deliver();
@@ -99,21 +100,21 @@
       await clock.advance(100);
       for (let round = 0; round < 3; round++) {
         for (const table of tables) {
-          const told = table.report('all');
+          const reports = table.report('all');
           for (const other of tables) {
-            other.merge(told);
+            other.merge(reports);
           }
         }
       }
-      const known = tables.map((table) => table.crashesOf('look-up').sort().join());
-      expect(new Set(known).size, `seed ${seed}`).toBe(1);
+      const crashes = tables.map((table) => table.crashesOf('look-up').sort().join());
+      expect(new Set(crashes).size, `seed ${seed}`).toBe(1);
     }
   });
 
-  it('forgets a request ten minutes after its last end, and keeps one that is asked for', async () => {
+  it('expires a request ten minutes after its last crash, unless it still arrives', async () => {
     const { clock, table } = setUp();
-    endAll(table, 'gone', ['a', 'b', 'c']);
-    endAll(table, 'bad', ['a', 'b', 'c']);
+    crashAll(table, 'gone', ['a', 'b', 'c']);
+    crashAll(table, 'bad', ['a', 'b', 'c']);
     for (let minute = 0; minute < 11; minute++) {
       await clock.advance(MINUTE_MILLISECONDS);
       table.recordArrival('bad');
@@ -123,9 +124,9 @@
     expect([table.hasPrefix('gone'), table.hasPrefix('bad')]).toEqual([false, true]);
   });
 
-  it('keeps 1,024 requests, and the strongest of them, whatever an account sends', () => {
+  it('keeps at most 1,024 requests and evicts the weakest first', () => {
     const { table } = setUp();
-    endAll(table, 'bad', ['a', 'b', 'c']);
+    crashAll(table, 'bad', ['a', 'b', 'c']);
     for (let index = 0; index < 5_000; index++) {
       table.recordCrash(`new-${index}`, `target-${index}`);
     }
@@ -135,27 +136,27 @@
     expect(table.has('new-0')).toBe(false);
   });
 
-  it('keeps eight ends of a request, and takes new ones in place of those that were taken back', () => {
+  it('keeps eight crashes of a request and replaces cleared ones', () => {
     const { table } = setUp();
     const first = Array.from({ length: 12 }, (_, index) => `first-${index}`);
-    endAll(table, 'bad', first);
+    crashAll(table, 'bad', first);
     expect(table.crashesOf('bad')).toHaveLength(8);
     table.recordResponse('bad', RESPONSES_TO_CLEAR);
-    endAll(table, 'bad', ['a', 'b', 'c']);
+    crashAll(table, 'bad', ['a', 'b', 'c']);
     expect(table.crashesOf('bad')).toEqual(['a', 'b', 'c']);
   });
 
-  it('tells nothing at rest, news for three seconds, and then reminds of what has two ends', async () => {
+  it('reports changes for three seconds, and then reminders of requests with two crashes', async () => {
     const { clock, table } = setUp();
     expect(table.report('all')).toEqual([]);
     table.recordCrash('look-up', 'a');
-    endAll(table, 'bad', ['a', 'b']);
+    crashAll(table, 'bad', ['a', 'b']);
     expect(table.report('own').map(({ fingerprint }) => fingerprint)).toEqual(['bad', 'look-up']);
     await clock.advance(4_000);
     expect(table.report('own')).toMatchObject([{ fingerprint: 'bad' }]);
   });
 
-  it('passes on what it heard as a relay only', () => {
+  it('forwards reports of peers only as a relay', () => {
     const { clock, table } = setUp();
     const other = new SuspectTable(clock);
     table.recordCrash('bad', 'a');
@@ -163,17 +164,17 @@
     expect([other.report('own'), other.report('all').length]).toEqual([[], 1]);
   });
 
-  it('tells 18 requests at once at most, those with most ends first, and reminds of all in turn', async () => {
+  it('reports at most 18 requests, those with the most crashes first, and reminders in turn', async () => {
     const { clock, table } = setUp();
     for (let index = 0; index < 100; index++) {
       table.recordCrash(`look-up-${index}`, 'a');
     }
-    endAll(table, 'bad', ['a', 'b', 'c']);
-    const told = table.report('all');
-    expect(told.length).toBeLessThanOrEqual(18);
-    expect(told[0]?.fingerprint).toBe('bad');
+    crashAll(table, 'bad', ['a', 'b', 'c']);
+    const reports = table.report('all');
+    expect(reports.length).toBeLessThanOrEqual(18);
+    expect(reports[0]?.fingerprint).toBe('bad');
     for (let index = 0; index < 9; index++) {
-      endAll(table, `worse-${index}`, ['a', 'b']);
+      crashAll(table, `worse-${index}`, ['a', 'b']);
     }
     await clock.advance(4_000);
     const reminded = new Set<string>();
--- a/packages/routing/tests/traffic-splitter.test.ts
+++ b/packages/routing/tests/traffic-splitter.test.ts
@@ -9,19 +9,19 @@
   return makeRoute({ shares });
 }
 
-describe('ShareBalancer', () => {
+describe('TrafficSplitter', () => {
   it.each([
     ['few keys', 6, { a: 50, b: 50 }],
     ['one key', 1, { a: 70, b: 30 }],
     ['many keys', 500, { a: 90, b: 10 }],
     ['three services', 24, { a: 60, b: 25, c: 15 }],
-  ])('holds each service’s part with %s', (_case, keys, weights) => {
-    const balancer = new TrafficSplitter();
+  ])('matches the weights with %s', (_case, keys, weights) => {
+    const splitter = new TrafficSplitter();
     const random = new SeededRandom(7);
     const route = makeSplit(weights);
     const counts = new Map<string, number>();
     for (let request = 0; request < 1_000; request++) {
-      const service = balancer.pick(route, `object-${Math.floor(random.next() * keys)}`);
+      const service = splitter.pick(route, `object-${Math.floor(random.next() * keys)}`);
       counts.set(service, (counts.get(service) ?? 0) + 1);
     }
     for (const [service, weight] of Object.entries(weights)) {
@@ -29,33 +29,33 @@
     }
   });
 
-  it('keeps most requests of a key with one service', () => {
-    const balancer = new TrafficSplitter();
+  it('keeps most requests of a key on one service', () => {
+    const splitter = new TrafficSplitter();
     const random = new SeededRandom(7);
     const route = makeSplit({ a: 50, b: 50 });
     const byKey = new Map<string, Map<string, number>>();
     for (let request = 0; request < 3_000; request++) {
       const key = `object-${Math.floor(random.next() * 60)}`;
-      const service = balancer.pick(route, key);
+      const service = splitter.pick(route, key);
       const counts = byKey.get(key) ?? new Map<string, number>();
       counts.set(service, (counts.get(service) ?? 0) + 1);
       byKey.set(key, counts);
     }
-    const atHome = [...byKey.values()].reduce(
+    const onMainService = [...byKey.values()].reduce(
       (sum, counts) => sum + Math.max(...counts.values()),
       0,
     );
-    expect(atHome / 3_000).toBeGreaterThan(0.8);
+    expect(onMainService / 3_000).toBeGreaterThan(0.8);
   });
 
-  it('follows new weights', () => {
-    const balancer = new TrafficSplitter();
+  it('adapts to new weights', () => {
+    const splitter = new TrafficSplitter();
     for (let request = 0; request < 300; request++) {
-      balancer.pick(makeSplit({ a: 100, b: 0 }), `object-${request % 10}`);
+      splitter.pick(makeSplit({ a: 100, b: 0 }), `object-${request % 10}`);
     }
     let toB = 0;
     for (let request = 0; request < 300; request++) {
-      toB += balancer.pick(makeSplit({ a: 0, b: 100 }), `object-${request % 10}`) === 'b' ? 1 : 0;
+      toB += splitter.pick(makeSplit({ a: 0, b: 100 }), `object-${request % 10}`) === 'b' ? 1 : 0;
     }
     expect(toB).toBe(300);
   });
--- a/packages/routing/tests/two-regions.ts
+++ b/packages/routing/tests/two-regions.ts
@@ -4,44 +4,46 @@
 
 const REGIONS: Record<string, string> = { 'aarhus-hal': 'jylland', 'odense-hal': 'fyn' };
 const KEYS = Array.from({ length: 200 }, (_, index) => `object-${index}`);
-/** When each target began, in Unix milliseconds. */
-export const BORN = 1_000;
+/** Start time of each target in Unix milliseconds. */
+export const START_TIME = 1_000;
 
-/** A service without targets, as a host in `jylland` knows it. */
+/** Creates a service without targets on a host in `jylland`. */
 export function makeService(
   clock = new FakeClock(),
   limits: ServiceTargetsOptions['limits'] = NO_LIMITS,
 ) {
-  const bound = { share: 0.15, windowMilliseconds: 2_000 };
+  const shiftLimit = { share: 0.15, windowMilliseconds: 2_000 };
   const service = new ServiceTargets('verdict-api', {
     clock,
-    overflows: new OverflowBudget({ clock, bound, ownName: 'host-1' }),
+    overflows: new OverflowBudget({ clock, bound: shiftLimit, ownName: 'host-1' }),
     retryBudget: { ratio: 0.2, slack: 10, windowMilliseconds: 10_000 },
     regionOf: (failureDomain) => REGIONS[failureDomain] ?? failureDomain,
     ownRegion: 'jylland',
     isEvacuated: () => false,
-    regionShiftLimit: bound,
+    regionShiftLimit: shiftLimit,
     limits,
     disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   return { clock, service };
 }
 
-/** Records a target, in `jylland` unless it is said otherwise. */
+/** Adds a target, in `jylland` by default. */
 export function put(
   service: ServiceTargets,
   id: string,
   changes: Partial<TargetRecord> = {},
 ): void {
-  service.put(makeTargetRecord({ id, bornAt: BORN, failureDomain: 'aarhus-hal', ...changes }));
+  service.put(
+    makeTargetRecord({ id, bornAt: START_TIME, failureDomain: 'aarhus-hal', ...changes }),
+  );
 }
 
-/** Names of targets that requests for all objects are sent to, at one moment. */
-export function reached(
+/** Ids of the targets selected for requests to all objects. */
+export function selectedTargets(
   service: ServiceTargets,
   changes: Partial<SelectionRequest> = {},
 ): Set<string | undefined> {
-  const chosen = KEYS.map((key) =>
+  const selected = KEYS.map((key) =>
     service.select({
       route: makeRoute(),
       key,
@@ -52,5 +54,5 @@
       ...changes,
     }),
   );
-  return new Set(chosen.map((target) => target?.id));
+  return new Set(selected.map((target) => target?.id));
 }
