--- a/packages/routing/src/accounts/account-quota.ts
+++ b/packages/routing/src/accounts/account-quota.ts
@@ -50,35 +50,24 @@
 const PROPAGATION_MILLISECONDS = 800;
 /** Age from which reports are stale; longer than the digest interval for hosts with callers. */
 const STALE_MILLISECONDS = 500;
-/**
- * Age from which a host considers itself isolated; longer than the digest interval for any host.
- */
+/** Age from which a host is isolated; longer than the digest interval for any host. */
 const ISOLATION_MILLISECONDS = 1_200;
 /** Fraction of the remaining quota that is withheld while the whole window lacks usage data. */
 const UNACCOUNTED_RESERVE = 0.6;
 /** Fraction of its share of the remaining quota that a host uses on stale reports. */
 const STALE_SHARE = 0.15;
-/**
- * Fraction of the limit that one host admits within the propagation time. Prevents many idle hosts
- * from each admitting the whole limit in a surge.
- */
+/** Fraction of the limit that one host admits in that time, so that idle hosts share a surge. */
 const MAX_BURST_SHARE = 0.25;
 /** Minimum number of requests admitted on stale reports, so that new callers are not refused. */
 const MIN_STALE_RUNS = 2;
-/**
- * Buckets of the window. The oldest expires as a whole, so the window is longer than necessary by
- * one bucket, at the cost of that fraction of the limit.
- */
+/** Buckets of the window, which is one bucket longer than necessary. */
 const BUCKETS = 40;
 /** Window over which a host measures the demand of its own callers. */
 const RATE_MILLISECONDS = 1_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 /** Minimum demand in requests per second, so that the first request has a share. */
 const MIN_DEMAND_PER_SECOND = 0.1;
-/**
- * Ratio of remaining quota to the demand within the propagation time from which every request is
- * admitted.
- */
+/** Ratio of remaining quota to expected demand from which every request is admitted. */
 const AMPLE_RATIO = 1;
 const MAX_WAIT_SECONDS = 5;
 
@@ -201,10 +190,7 @@
     return this.#usedWhenFresh * Math.max(0, Math.min(1, 1 - over));
   }
 
-  /**
-   * Tells whether one more request lies within the share of this host; fractions of a request are
-   * decided at random.
-   */
+  /** Tells whether the share allows one more request; fractions are decided at random. */
   #isWithinShare(remaining: number, share: number): boolean {
     const recent = this.#usedRecently.total;
     return this.#random.next() < share * (remaining + recent) - recent;
@@ -214,10 +200,7 @@
     return this.limit + SLACK_UTILIZATION * this.#policy.slack;
   }
 
-  /**
-   * Estimates the time until a request is admitted: quota becomes available at the rate of the
-   * account, and recently refused callers retry first.
-   */
+  /** Estimates the time until a request is admitted; recently refused callers retry first. */
   #secondsUntilAdmission(usageElsewhere: UsageElsewhere): number {
     const { requestsPerSecond } = this.#account;
     const missing = 1 + usageElsewhere.used + this.#used.total - this.#max;
--- a/packages/routing/src/accounts/client-account.ts
+++ b/packages/routing/src/accounts/client-account.ts
@@ -22,10 +22,7 @@
 
 export type ClientAccount = z.infer<typeof clientAccountSchema>;
 
-/**
- * All accounts of a configuration, with unique names and keys. Errors identify positions and never
- * contain a key.
- */
+/** Accounts of a configuration, with unique names and keys. Errors never contain a key. */
 export const clientAccountsSchema = z
   .array(clientAccountSchema)
   .superRefine((accounts, context) => {
--- a/packages/routing/src/accounts/unaccounted-share.ts
+++ b/packages/routing/src/accounts/unaccounted-share.ts
@@ -1,7 +1,4 @@
-/**
- * Factor by which the end of a window may be busier than its average, since waiting callers arrive
- * at once.
- */
+/** Ratio of the load at the end of a window to its average: waiting callers arrive at once. */
 const SURGE_FACTOR = 1.25;
 
 /**
--- a/packages/routing/src/cold-start-limiter.ts
+++ b/packages/routing/src/cold-start-limiter.ts
@@ -3,10 +3,7 @@
 
 /** Limit on entry hosts that send to one cold target; each may start with one request. */
 const MAX_SENDERS = 4;
-/**
- * Minimum requests per second of each sender, so that its first request is a small part of its
- * rate.
- */
+/** Minimum rate of each sender in requests per second. */
 const MIN_SENDER_RATE = 2;
 /** Fraction of the capacity of a cold target that is used. */
 const UTILIZATION = 0.7;
@@ -17,9 +14,7 @@
   /** Requests per second that the target sustains while cold. */
   readonly requestsPerSecond: number;
   readonly ownName: string;
-  /**
-   * Names of all entry hosts, including this one. The array is replaced when membership changes.
-   */
+  /** Names of all entry hosts, including this one; a new array after each change. */
   readonly hosts: readonly string[];
 }
 
--- a/packages/routing/src/limits/adaptive-request-rate.ts
+++ b/packages/routing/src/limits/adaptive-request-rate.ts
@@ -1,19 +1,14 @@
 import type { Clock } from '@ferrylock/utils';
 
-/**
- * Number of recent requests that the rate is computed from; small, so that it follows changes
- * quickly.
- */
+/** Number of requests that the rate is computed from. */
 const SAMPLES = 8;
 /** Minimum time span that fewer requests are spread over. */
 const MIN_SPAN_MILLISECONDS = 4_000;
-/** Idle time after which the rate is zero, as a multiple of the average interval. */
+/** Idle time after which the rate is zero, in average intervals. */
 const IDLE_INTERVALS = 4;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/**
- * Requests per second computed from the last few requests, so that it adapts to low and high rates.
- */
+/** Requests per second over the last few requests, for low and high rates. */
 export class AdaptiveRequestRate {
   readonly #clock: Clock;
   /** Times of the last requests, latest last. */
--- a/packages/routing/src/limits/advertised-limit.ts
+++ b/packages/routing/src/limits/advertised-limit.ts
@@ -1,7 +1,4 @@
-/**
- * Lower bound of a limit, in requests per second. Only a response can revoke a limit, so a target
- * that accepts nothing still gets a request every ten seconds.
- */
+/** Lower bound of a limit, in requests per second: only a response can revoke a limit. */
 const MIN_PER_SECOND = 0.1;
 /** Upper bound of a limit, in requests per second. */
 const MAX_PER_SECOND = 1e9;
@@ -13,10 +10,7 @@
 
 /** Limit of a target as received by one host. */
 export interface ReceivedLimit {
-  /**
-   * Requests per second that the target accepts from all hosts together; undefined if it advertises
-   * no limit.
-   */
+  /** Requests per second accepted from all hosts together; undefined without a limit. */
   readonly perSecond: number | undefined;
   /** Time of receipt in monotonic milliseconds. */
   readonly receivedAt: number;
@@ -55,8 +49,7 @@
   }
 
   /**
-   * Merges a limit that another host received. The newer one applies; of simultaneous ones, the
-   * stricter.
+   * Merges a limit that another host received: the newer, or the stricter of simultaneous ones.
    *
    * @returns whether the limit changed
    */
--- a/packages/routing/src/limits/limit-share.ts
+++ b/packages/routing/src/limits/limit-share.ts
@@ -9,18 +9,13 @@
 const BUCKETS = 80;
 /** Time until a report of one host has reached all others. */
 const PROPAGATION_MILLISECONDS = 600;
-/**
- * Share of the unused capacity of a window that may be used per second, in addition to the limit.
- */
+/** Share of the unused capacity of a window that may be used per second. */
 const CATCH_UP_PER_SECOND = 1;
 /** Burst of a host, as time at its rate; callers do not arrive evenly. */
 const BURST_SECONDS = 0.2;
 /** Average age of reports. */
 const AVERAGE_REPORT_AGE_MILLISECONDS = 500;
-/**
- * Ratio of demand during that time to remaining capacity, above which requests are admitted at
- * random.
- */
+/** Ratio of unreported demand to capacity from which admission is random. */
 const MAX_DEMAND_RATIO = 1.5;
 /** Limit on the time over which retries of refused callers are spread. */
 const MAX_RETRY_SPREAD_MILLISECONDS = 4_000;
@@ -30,10 +25,7 @@
 export interface LimitView {
   /** Usage of all other hosts, as last reported. */
   readonly usageElsewhere: UsageElsewhere;
-  /**
-   * Fraction of the registered hosts, including this one, whose reports arrive. The others may use
-   * their share of the limit unseen.
-   */
+  /** Fraction of the registered hosts, including this one, whose reports arrive. */
   readonly visibleHostShare: number;
   readonly hosts: number;
   /** Rank of this host among all hosts for this target, from 0; the same order on all hosts. */
@@ -103,8 +95,7 @@
   tryAcquire(view: LimitView): boolean {
     this.#refill(view);
     this.#demand.record();
-    // Random admission: hosts with shares far below one request would otherwise wait until each has
-    // saved a whole one.
+    // Random, so that shares far below one request do not wait to save a whole one.
     if (this.#random.next() >= this.#tokens || !this.#hasCapacity(view)) {
       this.#refused.add();
       return false;
@@ -131,10 +122,7 @@
     return available * (byDemand + (1 - load) * this.#idleShare(view, (1 - load) * limit));
   }
 
-  /**
-   * Wait until a request may be sent, in milliseconds. Includes the requests that were refused
-   * recently, so that their retries do not compete for the same capacity.
-   */
+  /** Wait until a request may be sent, in milliseconds; spreads the retries of refused requests. */
   waitMilliseconds(view: LimitView): number {
     this.#refill(view);
     const rate = Math.max(this.ratePerSecond(view), this.perSecond / view.hosts);
@@ -152,8 +140,8 @@
   }
 
   /**
-   * Tells whether there is capacity. Admits at random if demand far exceeds it: hosts with saved
-   * tokens would otherwise all send before they receive the reports of each other.
+   * Tells whether there is capacity. Random if demand far exceeds it, so that hosts do not all send
+   * before they receive the reports of each other.
    */
   #hasCapacity(view: LimitView): boolean {
     const capacity = this.#capacity(view);
--- a/packages/routing/src/max-load-per-slot.ts
+++ b/packages/routing/src/max-load-per-slot.ts
@@ -1,14 +1,8 @@
 import type { Route } from './route-configuration.js';
 
-/**
- * Fraction of the target latency available for queueing and processing; the rest is for the
- * network.
- */
+/** Fraction of the target latency that queueing and processing may take. */
 const USABLE_LATENCY_SHARE = 0.9;
-/**
- * Lower bound, also for slow requests such as cache misses: a late response is worth more than a
- * refusal and warms the cache.
- */
+/** Lower bound: a late response is worth more than a refusal and warms the cache. */
 const MIN_LOAD = 1.8;
 /** Upper bound: longer queues would exceed the timeouts of callers. */
 const MAX_LOAD = 2.5;
--- a/packages/routing/src/mechanisms.ts
+++ b/packages/routing/src/mechanisms.ts
@@ -1,10 +1,7 @@
 import { Err, Ok } from 'ts-results-es';
 import type { Result } from 'ts-results-es';
 
-/**
- * Mechanisms that can be disabled individually to measure their effect on a deployment
- * (`--without=NAME,...`).
- */
+/** Mechanisms that can be disabled to measure their effect (`--without=NAME,...`). */
 export const MECHANISMS = [
   /** Serves a share of the keys of a region on its own targets, up to their capacity. */
   'keys-at-home',
@@ -26,10 +23,7 @@
   'limit',
   /** Applies limits that other hosts received. */
   'told-limits',
-  /**
-   * Starts a new epoch, whose revisions come after those of the old one, when the store was
-   * restored from a backup.
-   */
+  /** Starts a new epoch with later revisions when the store was restored from a snapshot. */
   'store-lives',
   /** Keeps records that such a store lacks until they are written again. */
   'kept-records',
--- a/packages/routing/src/overflow-budget.ts
+++ b/packages/routing/src/overflow-budget.ts
@@ -5,14 +5,9 @@
 const HASH_RANGE = 0x1_0000_0000;
 /** Share of the limit reserved for keys that change their region. */
 const PLACEMENT_SHARE = 0.4;
-/**
- * Share of the limit reserved for requests that leave the region of their key because of a wait.
- */
+/** Share of the limit reserved for requests that leave their region because of a wait. */
 const OVERFLOW_SHARE = 0.4;
-/**
- * Share of the requests of a region in one window that its hosts together may have saved up as
- * whole overflows, on top of those earned within the window.
- */
+/** Share of the requests of a region in one window that its hosts may save up as overflows. */
 const SAVED_SHARE = 0.05;
 const MILLISECONDS_PER_SECOND = 1_000;
 
--- a/packages/routing/src/region-placement.ts
+++ b/packages/routing/src/region-placement.ts
@@ -96,10 +96,7 @@
     return this.#options.disabledMechanisms.has('keys-at-home') || keyPosition(key) < share;
   }
 
-  /**
-   * Returns all regions in the order of preference for a key; regions whose targets are all
-   * unavailable or cold come last.
-   */
+  /** Returns all regions in the order of preference for a key, unavailable ones last. */
   regionOrder(key: string): string[] {
     return [...this.#availableOrder(key), ...this.#unavailable];
   }
@@ -149,10 +146,7 @@
     }
   }
 
-  /**
-   * Weighted rendezvous hashing: a region ranks first for a share of the keys in proportion to its
-   * spare capacity.
-   */
+  /** Weighted rendezvous hashing by the spare capacity of the region. */
   #weightOf(region: string, key: string): number {
     const weight = Math.max(MIN_SPARE, this.#states.get(region)?.spare ?? 0);
     const point = (stableHash(`${region} ${key}`) + 1) / (HASH_RANGE + 1);
--- a/packages/routing/src/removed-target-signals.ts
+++ b/packages/routing/src/removed-target-signals.ts
@@ -14,10 +14,7 @@
 export class RemovedTargetSignals {
   readonly #entries = new Map<string, TargetSignals>();
 
-  /**
-   * Saves the signals of a removed target. Leaving is included, because an older record of the same
-   * incarnation may return that lacks it.
-   */
+  /** Saves the signals of a removed target, and that it leaves: an older record may return. */
   save({ incarnationId, signals, leaving }: TargetState, now: number): void {
     if (leaving) {
       signals.recordLeaving();
--- a/packages/routing/src/service-targets.ts
+++ b/packages/routing/src/service-targets.ts
@@ -108,10 +108,7 @@
     this.requestRate = new RequestRate(options.clock);
   }
 
-  /**
-   * Tells whether a record belongs to an earlier incarnation, or was written earlier by the same
-   * one.
-   */
+  /** Tells whether a record is of an earlier incarnation, or an earlier one of the same. */
   isStale(record: TargetRecord): boolean {
     const known = this.targets.get(record.id)?.record;
     if (known === undefined || record.bornAt === undefined) {
@@ -122,8 +119,7 @@
   }
 
   /**
-   * Applies a record that is not stale. A new incarnation under the same id inherits nothing:
-   * neither leaving nor load, failures or cached objects.
+   * Applies a record that is not stale. A new incarnation inherits nothing from the previous one.
    */
   put(record: TargetRecord): PutOutcome {
     const known = this.targets.get(record.id);
@@ -228,9 +224,8 @@
   }
 
   /**
-   * Estimates how long a target at its maximum load takes to work off its backlog, in milliseconds:
-   * the retry delay after which a caller finds capacity at constant demand. Undefined before the
-   * first response.
+   * Estimates how long a target at its maximum load takes to work off its backlog, in milliseconds.
+   * Undefined before the first response.
    */
   backlogMilliseconds(route: Route, lowestPriority: number): number | undefined {
     const processingMilliseconds = this.#processing.value;
@@ -244,10 +239,7 @@
           });
   }
 
-  /**
-   * Tells when the first eligible target becomes available, if all of them rest or are at their
-   * limit.
-   */
+  /** Tells when the first eligible target is available, if all rest or are at their limit. */
   earliestAvailability({
     homeRegions,
   }: Pick<Route, 'homeRegions'>): TargetAvailability | undefined {
@@ -288,17 +280,13 @@
   /**
    * Recomputes the share of keys that each region serves.
    *
-   * @param requestsPerSecond - demand of the callers of a region for this service; undefined if
-   *   unknown
+   * @param requestsPerSecond - demand of a region for this service; undefined if unknown
    */
   updatePlacement(requestsPerSecond: (region: string) => number | undefined): void {
     this.placement.update(this.#capacities(requestsPerSecond), this.#options.clock.now());
   }
 
-  /**
-   * Tells whether connections to its targets may hold bytes of another response and must not be
-   * reused.
-   */
+  /** Tells whether connections may hold bytes of another response and must not be reused. */
   get isConnectionReuseDisabled(): boolean {
     return this.#options.clock.now() < this.#reuseDisabledUntil;
   }
--- a/packages/routing/src/suspects/suspect-table.ts
+++ b/packages/routing/src/suspects/suspect-table.ts
@@ -7,17 +7,13 @@
  */
 export const SUSPECT_CRASHES = 3;
 /**
- * Responses to a request that clear the crashes before them. Fewer would let a request that crashes
- * targets only sometimes continue; more would refuse ordinary requests while targets crash for
- * other reasons.
+ * Responses to a request that clear earlier crashes. More would refuse ordinary requests while
+ * targets crash for other reasons.
  */
 export const RESPONSES_TO_CLEAR = 2;
 /** Retention period of a crash after the last crash under the request or its last arrival. */
 const RETENTION_MILLISECONDS = 600_000;
-/**
- * Limit on tracked requests; the ones with the fewest crashes are evicted first, then the least
- * recent.
- */
+/** Limit on tracked requests; those with the fewest crashes are evicted first. */
 const MAX_REQUESTS = 1_024;
 /** Limit on crashes of one request; enough for it to stay a suspect if a few are cleared. */
 const MAX_CRASHES = 8;
@@ -113,18 +109,14 @@
     return [...crashes].reduce((latest, { at }) => Math.max(latest, at), -Infinity);
   }
 
-  /**
-   * Records a crash of a target that had the request.
-   *
-   * @returns whether this is a new crash
-   */
+  /** Records a crash of a target that had the request; returns whether it is new. */
   recordCrash(fingerprint: string, target: string): boolean {
     const crash = { target, ageMilliseconds: 0, responses: 0 };
     return this.#merge({ fingerprint, crashes: [crash] }, true);
   }
 
   /**
-   * Records a response to the request, which suggests that earlier crashes had another cause.
+   * Records a response to the request.
    *
    * @param responses - number of responses that it counts as
    */
@@ -152,11 +144,7 @@
     }
   }
 
-  /**
-   * Merges the report of a peer.
-   *
-   * @returns whether a request with enough crashes for reminders changed
-   */
+  /** Merges the report of a peer; returns whether a request with enough crashes changed. */
   merge(reports: readonly SuspectReport[]): boolean {
     const changed = reports.filter((suspect) => this.#merge(suspect, false));
     return changed.some(({ fingerprint }) => this.#countedOf(fingerprint) >= MIN_REMINDER_CRASHES);
@@ -257,11 +245,7 @@
     return true;
   }
 
-  /**
-   * Makes room for a request with this many crashes, if necessary by evicting the weakest one.
-   *
-   * @returns whether there is room
-   */
+  /** Makes room for a request with this many crashes; returns false if there is none. */
   #makeRoom(crashes: number): boolean {
     if (this.#requests.size < MAX_REQUESTS) {
       return true;
@@ -330,11 +314,7 @@
   return fingerprint.slice(0, FINGERPRINT_PREFIX_LENGTH);
 }
 
-/**
- * Adds or clears a crash.
- *
- * @returns whether anything changed
- */
+/** Adds or clears a crash; returns whether anything changed. */
 function mergeCrash(tracked: TrackedRequest, crash: SuspectCrash, now: number): boolean {
   const { target, ageMilliseconds, responses } = crash;
   const { crashes } = tracked;
--- a/packages/routing/src/target-availability.ts
+++ b/packages/routing/src/target-availability.ts
@@ -5,10 +5,7 @@
 /** Limit on targets of each refusal that are reported as the cause. */
 const MAX_REPORTED_TARGETS = 4;
 
-/**
- * Time until the first eligible target becomes available, while all of them rest (a back-off
- * requested through Retry-After) or are at their advertised limit.
- */
+/** Wait while all eligible targets rest (a back-off through Retry-After) or are at their limit. */
 export interface TargetAvailability {
   /** Wait until the first of them accepts a request. */
   readonly milliseconds: number;
@@ -32,10 +29,7 @@
   readonly isResting: boolean;
 }
 
-/**
- * Finds when the first eligible target becomes available; undefined if one is available now or none
- * is eligible.
- */
+/** Finds when the first eligible target becomes available, unless one is available now. */
 export function earliestAvailability(
   targets: Iterable<TargetState>,
   { now, isEligible, limits, disabledMechanisms: disabled }: TargetAvailabilityOptions,
--- a/packages/routing/src/target-record.ts
+++ b/packages/routing/src/target-record.ts
@@ -7,11 +7,9 @@
 export const targetRecordSchema = z.object({
   /** Target id; shared by all incarnations. */
   id: z.string().min(1),
-  /**
-   * Start time of this incarnation in Unix milliseconds by its own clock; absent if not reported.
-   */
+  /** Start time in Unix milliseconds by its own clock; absent if not reported. */
   bornAt: z.number().int().nonnegative().max(MAX_START_TIME).optional(),
-  /** Increases with each record of one incarnation; absent if not reported. */
+  /** Increases with each record of an incarnation; absent if not reported. */
   sequence: z.number().int().optional(),
   service: z.string().min(1),
   /** IP address and port. */
--- a/packages/routing/src/target-selector.ts
+++ b/packages/routing/src/target-selector.ts
@@ -4,14 +4,9 @@
 import type { RegionPlacement } from './region-placement.js';
 import type { TargetState } from './target-state.js';
 
-/**
- * Targets of a region that cache an object, so that the loss of one target does not cause a miss.
- */
+/** Targets of a region that cache an object, as redundancy. */
 const REPLICAS = 2;
-/**
- * Load per slot up to which a target accepts objects that it has not cached. Cache misses take
- * longer, which would increase the load further where all targets are busy.
- */
+/** Load per slot up to which a target accepts cache misses, which take longer. */
 const MAX_MISS_LOAD_PER_SLOT = 0.5;
 /** Presumed additional processing time of a cache miss, relative to a hit, until it is known. */
 const PRESUMED_MISS_PENALTY = 1;
@@ -26,10 +21,7 @@
   readonly tried: ReadonlySet<string>;
   /** Limit on requests, running and queued, per slot of a target. */
   readonly maxLoadPerSlot: number;
-  /**
-   * Tells whether the request is expensive to transfer between regions, so that the own region is
-   * preferred if it has capacity.
-   */
+  /** Tells whether transfers between regions are expensive, so that the own one is preferred. */
   readonly prefersOwnRegion: boolean;
   /** Processing time of a cache hit; undefined before the first response. */
   readonly processingMilliseconds: number | undefined;
@@ -159,9 +151,7 @@
     return mayOverflow && !this.#options.disabledMechanisms.has('other-regions') ? 1 : 0;
   }
 
-  /**
-   * Tells whether a region serves the key for its own callers, and therefore has the object cached.
-   */
+  /** Tells whether a region serves the key for its own callers, and so has it cached. */
   #isServedBy(region: string, { key }: SelectionCriteria): boolean {
     return this.#options.placement.isServedLocally(region, key);
   }
@@ -210,10 +200,7 @@
     return this.#inOrder(criteria, regions).find((target) => isCold(target) && mayUseCold(target));
   }
 
-  /**
-   * Selects among failing targets if all fail: the cause is then more likely elsewhere, and
-   * ejection would lose the whole service.
-   */
+  /** Selects among failing targets if all fail, since the cause is then likely elsewhere. */
   #leastLoadedOfAny(
     criteria: SelectionCriteria,
     regions: readonly string[],
@@ -241,10 +228,7 @@
     return this.#isUsable(target, criteria, now) && !target.isCold(now) && !target.isEjected(now);
   }
 
-  /**
-   * Excludes targets that must not get the request in any case: on the first attempt, on retries,
-   * as cold targets, and if all fail. Unlike an ejected target, a resting one is never used.
-   */
+  /** Excludes targets on every path. Unlike an ejected target, a resting one is never used. */
   #isUsable(target: TargetState, { tried }: SelectionCriteria, now: number): boolean {
     return (
       !target.leaving &&
--- a/packages/routing/src/target-signals.ts
+++ b/packages/routing/src/target-signals.ts
@@ -1,9 +1,6 @@
 import { AdvertisedLimit } from './limits/advertised-limit.js';
 
-/**
- * Upper bound of a rest. Longer requests are treated as mistakes of the target, which would
- * otherwise get no requests until its next start; it can ask again.
- */
+/** Upper bound of a rest: longer requests are presumed mistakes, and a target can ask again. */
 const MAX_REST_MILLISECONDS = 3_600_000;
 
 /**
--- a/packages/routing/src/target-state.ts
+++ b/packages/routing/src/target-state.ts
@@ -18,10 +18,7 @@
 /** Ejection time of a target that shed a request. */
 const SHED_EJECTION_MILLISECONDS = 100;
 
-/**
- * State of one target as seen by this entry host: its record, its signals, and the results of
- * attempts.
- */
+/** State of one target as seen by this host: its record, its signals, and results of attempts. */
 export class TargetState {
   record: TargetRecord;
   /** Identifies this incarnation to peers and against later incarnations. */
@@ -72,10 +69,7 @@
     this.#isDraining = true;
   }
 
-  /**
-   * Tells whether the target rests: whether a back-off that it requested of this host through
-   * Retry-After is not over.
-   */
+  /** Tells whether the target rests (a back-off that it requested through Retry-After). */
   isResting(now: number, disabled: DisabledMechanisms = NO_DISABLED_MECHANISMS): boolean {
     return this.signals.isResting(now) && !disabled.has('rest');
   }
@@ -121,10 +115,7 @@
     this.#reportedAt = now;
   }
 
-  /**
-   * Tells whether the object is presumed to be in its cache, because it recently processed it for
-   * this host.
-   */
+  /** Tells whether it recently processed the object for this host. */
   hasCached(key: string, now: number): boolean {
     return now - (this.#cachedObjects.get(key) ?? -Infinity) < CACHE_TTL_MILLISECONDS;
   }
--- a/packages/routing/src/traffic-splitter.ts
+++ b/packages/routing/src/traffic-splitter.ts
@@ -52,10 +52,7 @@
   }
 }
 
-/**
- * Returns the preferred service, or the one furthest below its weight if the preferred one exceeds
- * its share.
- */
+/** Returns the preferred service, or the one furthest below its weight instead. */
 function correct({ shares }: Route, preferred: string, recent: RecentShares): string {
   const total = shares.reduce((sum, { weight }) => sum + weight, 0);
   const excesses = shares.map(({ service, weight }) => ({
--- a/packages/routing/tests/accounts/account-table.test.ts
+++ b/packages/routing/tests/accounts/account-table.test.ts
@@ -41,14 +41,11 @@
     [['fyn'], [], ['fyn']],
     [[], ['fyn'], ['fyn']],
     [['fyn', 'jylland'], ['jylland', 'sjaelland'], ['jylland']],
-  ])(
-    'intersects the home regions of the route, %j, and of the account, %j',
-    (routeRegions, accountRegions, expected) => {
-      const table = makeTable(makeAccount({ homeRegions: accountRegions }));
-      const { route } = table.admit(makeRoute({ homeRegions: routeRegions }), 'k-1').unwrap();
-      expect(route.homeRegions).toEqual(expected);
-    },
-  );
+  ])('intersects home regions of route, %j, and account, %j', (ofRoute, ofAccount, expected) => {
+    const table = makeTable(makeAccount({ homeRegions: ofAccount }));
+    const { route } = table.admit(makeRoute({ homeRegions: ofRoute }), 'k-1').unwrap();
+    expect(route.homeRegions).toEqual(expected);
+  });
 
   it('refuses if route and account have no common region', () => {
     const table = makeTable(makeAccount({ homeRegions: ['fyn'] }));
@@ -61,14 +58,9 @@
       makeAccount({ name: 'urgent', keys: ['u'], priority: 3 }),
       makeAccount({ name: 'other', keys: ['o'], priority: 5 }),
     );
-    const priorityOf = (key: string, priority: number): number =>
+    const rank = (key: string, priority: number): number =>
       table.admit(makeRoute({ priority }), key).unwrap().route.priority;
-    expect([
-      priorityOf('u', 0),
-      priorityOf('u', 2),
-      priorityOf('o', 0),
-      priorityOf('o', 2),
-    ]).toEqual([0, 2, 6, 8]);
+    expect([rank('u', 0), rank('u', 2), rank('o', 0), rank('o', 2)]).toEqual([0, 2, 6, 8]);
     expect(table.lowestPriority).toBe(8);
   });
 
--- a/packages/routing/tests/fixtures.ts
+++ b/packages/routing/tests/fixtures.ts
@@ -1,10 +1,7 @@
 import { makeTargetRecord } from '@ferrylock/test-utils';
 import { TargetState } from '../src/index.js';
 
-/**
- * Creates targets named `target-0`, `target-1` and so on, distributed over the failure domains in
- * turn.
- */
+/** Creates targets `target-0`, `target-1`, ..., distributed over the failure domains in turn. */
 export function makeTargets(
   count: number,
   failureDomains: readonly string[] = ['aarhus-hal'],
--- a/packages/routing/tests/limits/adaptive-request-rate.test.ts
+++ b/packages/routing/tests/limits/adaptive-request-rate.test.ts
@@ -18,12 +18,9 @@
     [100, 10, 100],
     [100, 1_000, 1],
     [100, 20_000, 0.05],
-  ])(
-    'measures %i requests at intervals of %i ms as %d per second',
-    async (count, gap, perSecond) => {
-      expect(await rateAfter(count, gap)).toBeCloseTo(perSecond);
-    },
-  );
+  ])('measures %i requests every %i ms as %d per second', async (count, gap, perSecond) => {
+    expect(await rateAfter(count, gap)).toBeCloseTo(perSecond);
+  });
 
   it('spreads few requests over at least four seconds', async () => {
     expect(await rateAfter(2, 10)).toBe(0.5);
--- a/packages/routing/tests/limits/advertised-limit.test.ts
+++ b/packages/routing/tests/limits/advertised-limit.test.ts
@@ -22,14 +22,11 @@
     ['is revoked', undefined, undefined],
     ['has a minimum of one request in ten seconds', 0, 0.1],
     ['has no effective maximum', 1e6, 1e6],
-  ])(
-    '%s by the response to a request sent after the last limit was received',
-    (_case, advertised, expected) => {
-      const limit = make(2.5);
-      limit.record(advertised, { sentAt: 1_001, now: 1_100 });
-      expect(limit.perSecond).toBe(expected);
-    },
-  );
+  ])('%s by the response to a later request', (_case, advertised, expected) => {
+    const limit = make(2.5);
+    limit.record(advertised, { sentAt: 1_001, now: 1_100 });
+    expect(limit.perSecond).toBe(expected);
+  });
 
   it.each([
     ['not raised', 7, 2.5],
--- a/packages/routing/tests/limits/limit-share.test.ts
+++ b/packages/routing/tests/limits/limit-share.test.ts
@@ -5,8 +5,7 @@
 import type { LimitView } from '../../src/index.js';
 
 /**
- * Limits of one target, shared by hosts that receive the reports of each other up to a second late.
- * The target gets 14.5 requests per second and advertises a limit of one to five; the bounds are
+ * Limits of one target, shared by hosts that receive reports up to a second late. The bounds are
  * the accepted excess in any 4 s.
  */
 const WINDOW_MILLISECONDS = 4_000;
--- a/packages/routing/tests/service-targets.test.ts
+++ b/packages/routing/tests/service-targets.test.ts
@@ -128,8 +128,7 @@
       }),
     );
     const near = chosen.filter((target) => target?.record.failureDomain === 'aarhus-hal').length;
-    // The region has a tenth of the slots: a fifth of the keys at even utilization, and at most 1.7
-    // times that.
+    // A tenth of the slots carries a fifth of the keys evenly, and at most 1.7 times that.
     expect(near / KEYS.length).toBeGreaterThan(0.2);
     expect(near / KEYS.length).toBeLessThan(0.45);
   });
--- a/packages/routing/tests/suspects/suspect-table.test.ts
+++ b/packages/routing/tests/suspects/suspect-table.test.ts
@@ -1,7 +1,6 @@
 /**
- * Demand: a popular lookup and about ten other requests are at a target whenever one crashes, and a
- * request that crashes targets arrives at any host. Reports of peers arrive late, twice, and in any
- * order.
+ * A popular lookup and other requests are at targets that crash; reports of peers arrive late,
+ * twice, and in any order.
  */
 import { FakeClock } from '@ferrylock/test-utils';
 import { SeededRandom, shuffled } from '@ferrylock/utils';
--- a/packages/routing/tests/target-selector.test.ts
+++ b/packages/routing/tests/target-selector.test.ts
@@ -9,7 +9,7 @@
 const PROCESSING = 120;
 const MISS_PENALTY = 50;
 /** Round-trip time to a target in another region. */
-const REMOTE_ROUND_TRIP = 40;
+const FAR = 40;
 const REGIONS: Record<string, string> = {
   'aarhus-hal': 'jylland',
   'roskilde-hal': 'sjaelland',
@@ -46,8 +46,7 @@
     regionOf,
     isEvacuated: (failureDomain) => failureDomain === evacuated,
     placement,
-    roundTripMilliseconds: ({ record }) =>
-      regionOf(record.failureDomain) === ownRegion ? 0 : REMOTE_ROUND_TRIP,
+    roundTripMilliseconds: ({ record }) => (regionOf(record.failureDomain) === ownRegion ? 0 : FAR),
     disabledMechanisms: NO_DISABLED_MECHANISMS,
   });
   for (const target of targets.values()) {
--- a/packages/utils/src/first-occurrences.ts
+++ b/packages/utils/src/first-occurrences.ts
@@ -2,10 +2,7 @@
 const MAX_NAMES = 32;
 const MAX_NAME_LENGTH = 64;
 
-/**
- * Detects the first occurrence of names from untrusted input, so that each is logged once. The
- * number of names is bounded.
- */
+/** Detects first occurrences of untrusted names, up to a limit, so that each is logged once. */
 export class FirstOccurrences {
   readonly #names = new Set<string>();
 
--- a/packages/utils/src/random.ts
+++ b/packages/utils/src/random.ts
@@ -49,10 +49,7 @@
   return copy;
 }
 
-/**
- * Adds jitter to an interval: uniform between half and one and a half of its mean, so that peers do
- * not synchronize.
- */
+/** Jittered interval between half and one and a half of its mean. */
 export function jittered(random: Random, mean: number): number {
   return mean * (0.5 + random.next());
 }
