--- a/packages/routing/src/accounts/unaccounted-share.ts
+++ b/packages/routing/src/accounts/unaccounted-share.ts
@@ -1,15 +1,13 @@
-/**
- * How much fuller the last part of a window may have been than the whole: callers that were kept waiting come
- * at once.
- */
-const RUSH_AT_THE_END = 1.25;
+/** Ratio of the load at the end of a window to its average: waiting callers arrive at once. */
+const SURGE_FACTOR = 1.25;
 
 /**
- * Part of its limit that an account may have used in the part of the window of which nobody remembers anything.
+ * Estimates the share of its limit that an account may have used in the part of the window without
+ * usage data.
  *
- * @param knownMilliseconds - how far back some host knows what ran
+ * @param knownMilliseconds - how far back some host has usage data
  */
 export function unaccountedShare(knownMilliseconds: number, windowMilliseconds: number): number {
-  const unknown = Math.max(0, 1 - knownMilliseconds / windowMilliseconds);
-  return Math.min(1, RUSH_AT_THE_END * unknown);
+  const missing = Math.max(0, 1 - knownMilliseconds / windowMilliseconds);
+  return Math.min(1, SURGE_FACTOR * missing);
 }
