--- a/packages/control/src/membership/domain-summary.ts
+++ b/packages/control/src/membership/domain-summary.ts
@@ -2,10 +2,10 @@
 import { z } from 'zod';
 import { memberSchema } from './member.js';
 
-/** Hosts of a failure domain that its summary names to other domains. */
+/** Maximum number of hosts that a summary lists as contacts for other failure domains. */
 export const CONTACTS_PER_DOMAIN = 6;
 
-/** What other failure domains know of one: how many hosts serve, and some of them to talk to. */
+/** State of a failure domain as shared with other domains: serving count and some contacts. */
 export const domainSummarySchema = z.object({
   failureDomain: z.string(),
   region: z.string(),
@@ -15,7 +15,7 @@
 });
 export type DomainSummary = z.infer<typeof domainSummarySchema>;
 
-/** Everything in a summary but its version, as text that is equal for equal contents. */
+/** Canonical text of a summary without its version. */
 export function summaryContent(summary: DomainSummary): string {
   const contacts = summary.contacts
     .map((contact) => `${contact.id}#${contact.incarnation}:${contact.state}`)
@@ -23,7 +23,7 @@
   return `${summary.servingCount} ${contacts.join(' ')}`;
 }
 
-/** Whether the first summary replaces the second. Equal versions are settled by their contents. */
+/** Compares summaries by version, then by content as a deterministic tie-break. */
 export function summaryReplaces(update: DomainSummary, known: DomainSummary): boolean {
   if (update.version !== known.version) {
     return update.version > known.version;
@@ -31,7 +31,7 @@
   return summaryContent(update) > summaryContent(known);
 }
 
-/** Equal exactly when two daemons know the same summaries. */
+/** Digest of a set of summaries, independent of their order. */
 export function digestOfSummaries(summaries: Iterable<DomainSummary>): string {
   const lines = [...summaries].map(
     (summary) => `${summary.failureDomain} ${summary.version} ${summaryContent(summary)}`,
--- a/packages/control/src/membership/domain-table.ts
+++ b/packages/control/src/membership/domain-table.ts
@@ -10,22 +10,22 @@
 import { isServing, memberKey } from './member.js';
 
 /**
- * How long a contact that did not answer is passed over. The domain's daemons together try it again
- * well before that, so that a dead one does not come back into sight.
+ * Time for which an unresponsive contact is avoided. Retries by the daemons of the domain renew the
+ * mark before it expires, so that a dead contact stays marked.
  */
 const UNREACHABLE_MILLISECONDS = 60_000;
-/** Unreachable contacts named in one message, the latest first. */
-const MAXIMUM_UNREACHABLE_TOLD = 16;
+/** Maximum number of unreachable contacts in one message, most recent first. */
+const MAXIMUM_UNREACHABLE_REPORTED = 16;
 
-/** What one daemon knows of all failure domains, its own included. */
+/** One daemon's view of all failure domains, including its own. */
 export class DomainTable {
   readonly #summaries = new Map<string, DomainSummary>();
-  /** When contacts were last found not to answer. */
+  /** Time of the last failed call, by contact. */
   readonly #unreachableAt = new Map<string, number>();
-  /** When contacts were last found to answer. */
+  /** Time of the last successful exchange, by contact. */
   readonly #reachedAt = new Map<string, number>();
   #digest = digestOfSummaries([]);
-  /** Counts what has been learned, so that a view made of the contacts can be kept until it changes. */
+  /** Change counter that lets callers cache views derived from the contacts. */
   changes = 0;
 
   constructor(
@@ -41,12 +41,12 @@
     return [...this.#summaries.values()];
   }
 
-  /** Contacts in other domains that answered when last tried. */
+  /** Contacts in other domains that are not marked unreachable. */
   reachableContacts(): Member[] {
     return this.#contacts().filter((contact) => !this.#isUnreachable(memberKey(contact)));
   }
 
-  /** Contacts in other domains that did not answer when last tried. */
+  /** Contacts in other domains that are marked unreachable. */
   unreachableContacts(): Member[] {
     return this.#contacts().filter((contact) => this.#isUnreachable(memberKey(contact)));
   }
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Writes the summary of this daemon's own domain anew where its members have changed. */
+  /** Publishes a new summary version of the own domain if its serving members have changed. */
   refreshOwn(region: string, members: readonly Member[]): void {
     const serving = members.filter(isServing).sort((a, b) => (a.id < b.id ? -1 : 1));
     const known = this.#summaries.get(this.ownDomain);
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Contacts that did not answer lately, to be told to peers. */
+  /** Recently unreachable contacts, to be reported to peers. */
   recentlyUnreachable(): { key: string; ageMilliseconds: number }[] {
     const now = this.clock.now();
     const recent: { key: string; ageMilliseconds: number }[] = [];
@@ -107,7 +107,7 @@
       }
     }
     recent.sort((a, b) => a.ageMilliseconds - b.ageMilliseconds);
-    return recent.slice(0, MAXIMUM_UNREACHABLE_TOLD);
+    return recent.slice(0, MAXIMUM_UNREACHABLE_REPORTED);
   }
 
   #contacts(): Member[] {
@@ -124,12 +124,12 @@
 
   #set(summary: DomainSummary): void {
     this.changes++;
-    this.#forgetFormerContacts(summary);
+    this.#removeFormerContacts(summary);
     this.#summaries.set(summary.failureDomain, summary);
     this.#digest = digestOfSummaries(this.#summaries.values());
   }
 
-  #forgetFormerContacts(next: DomainSummary): void {
+  #removeFormerContacts(next: DomainSummary): void {
     const kept = new Set(next.contacts.map(memberKey));
     for (const contact of this.#summaries.get(next.failureDomain)?.contacts ?? []) {
       const key = memberKey(contact);
--- a/packages/control/src/membership/heartbeat-participant.ts
+++ b/packages/control/src/membership/heartbeat-participant.ts
@@ -1,7 +1,7 @@
 import type { HeartbeatFields } from '../peer/peer-methods.js';
 import type { Member } from './member.js';
 
-/** Fields of a heartbeat that components other than the membership fill in. */
+/** Heartbeat fields that are filled in by components other than the membership. */
 export type ExtraHeartbeatFields = Pick<
   HeartbeatFields,
   | 'configurationDigest'
@@ -11,15 +11,15 @@
   | 'suspects'
 >;
 
-/** A heartbeat that came from a peer, as a request or as an answer. */
+/** Heartbeat request or response received from a peer. */
 export interface ReceivedHeartbeat {
   readonly from: Member;
   readonly fields: ExtraHeartbeatFields;
-  /** Clock reading before which the peer surely had not said this. */
+  /** Earliest local clock time at which the peer can have sent this. */
   readonly notBefore: number;
 }
 
-/** A component that says something in heartbeats, and listens to what peers say there. */
+/** Component that contributes fields to heartbeats and processes those of peers. */
 export interface HeartbeatParticipant {
   describe(): Partial<ExtraHeartbeatFields>;
   received(heartbeat: ReceivedHeartbeat): void;
--- a/packages/control/src/membership/member-table.ts
+++ b/packages/control/src/membership/member-table.ts
@@ -2,11 +2,11 @@
 import type { Member, MemberIdentity } from './member.js';
 import { isRunning, memberKey, supersedes } from './member.js';
 
-/** Times that each piece of news is passed on, over the logarithm of the number of members. */
+/** Transmissions of each update per log2 of the number of members. */
 const TRANSMISSIONS_FACTOR = 3;
-/** News in one message, so that its size does not grow with the domain. */
+/** Maximum number of updates in one message, which bounds its size in large domains. */
 const MAXIMUM_UPDATES = 8;
-/** How long a dead member is remembered, so that late news of it does not bring it back. */
+/** Retention of dead members, so that a delayed update does not resurrect them. */
 const TOMBSTONE_MILLISECONDS = 60_000;
 
 interface Entry {
@@ -15,12 +15,12 @@
   transmissionsLeft: number;
 }
 
-/** The members of one failure domain as one of them knows them. */
+/** One member's view of all members of its failure domain. */
 export class MemberTable {
   readonly #entries = new Map<string, Entry>();
   readonly #clock: Clock;
   readonly selfKey: string;
-  /** Counts what has been learned, so that a view made of the members can be kept until it changes. */
+  /** Change counter that lets callers cache views derived from the members. */
   changes = 0;
 
   constructor(identity: MemberIdentity, clock: Clock) {
@@ -32,7 +32,7 @@
   get self(): Member {
     const entry = this.#entries.get(this.selfKey);
     if (entry === undefined) {
-      throw new Error('a member always knows itself');
+      throw new Error('member table has no entry for its own member');
     }
     return entry.member;
   }
@@ -41,12 +41,12 @@
     return this.#entries.get(key)?.member;
   }
 
-  /** All members that are not known to be dead, this one included. */
+  /** All members not known to be dead, including this one. */
   running(): Member[] {
     return this.all().filter(isRunning);
   }
 
-  /** All members that are not known to be dead, but this one. */
+  /** All members not known to be dead, except this one. */
   others(): Member[] {
     return this.running().filter((member) => memberKey(member) !== this.selfKey);
   }
@@ -55,12 +55,12 @@
     return [...this.#entries.values()].map((entry) => entry.member);
   }
 
-  /** Says something new of this member itself. */
+  /** Sets this member's own state under a new version. */
   announce(state: Member['state']): void {
     this.#set({ ...this.self, state, version: this.self.version + 1 });
   }
 
-  /** Takes up what a peer says, if it is news; refutes what is said wrongly of this member. */
+  /** Applies a peer's update if it is newer; refutes false suspicions of this member. */
   merge(update: Member): void {
     const key = memberKey(update);
     if (key === this.selfKey) {
@@ -68,13 +68,13 @@
       return;
     }
     const known = this.#entries.get(key);
-    const isNews = known === undefined ? isRunning(update) : supersedes(update, known.member);
-    if (isNews) {
+    const isNewer = known === undefined ? isRunning(update) : supersedes(update, known.member);
+    if (isNewer) {
       this.#set(update);
     }
   }
 
-  /** Records this member's own finding about another. */
+  /** Records a state that this member observed of another. */
   mark(key: string, state: 'leaving' | 'suspect' | 'dead'): void {
     const known = this.#entries.get(key);
     if (known !== undefined) {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** A process that answers at an address is the only one there: the others are gone. */
+  /** Marks earlier incarnations at the address of a responding process as dead. */
   markReplaced(current: Member): void {
     for (const member of this.others()) {
       const sameAddress = member.controlAddress === current.controlAddress;
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Declares suspects dead that did not refute in time, and forgets old tombstones. */
+  /** Declares suspects dead that did not refute in time, and removes expired tombstones. */
   expire(suspicionMilliseconds: number): void {
     const now = this.#clock.now();
     for (const [key, entry] of this.#entries) {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** The news to pass on next, least often told first. */
+  /** Takes the next updates to disseminate, least often sent first. */
   takeUpdates(): Member[] {
     const pending = [...this.#entries.values()].filter((entry) => entry.transmissionsLeft > 0);
     pending.sort((a, b) => b.transmissionsLeft - a.transmissionsLeft);
@@ -116,11 +116,11 @@
     return chosen.map((entry) => entry.member);
   }
 
-  #refute(said: Member): void {
+  #refute(reported: Member): void {
     const { version, state } = this.self;
-    const accused = said.state === 'suspect' || said.state === 'dead';
-    if (accused && state !== 'dead' && said.version >= version) {
-      this.#set({ ...this.self, version: said.version + 1 });
+    const isSuspected = reported.state === 'suspect' || reported.state === 'dead';
+    if (isSuspected && state !== 'dead' && reported.version >= version) {
+      this.#set({ ...this.self, version: reported.version + 1 });
     }
   }
 
--- a/packages/control/src/membership/member.ts
+++ b/packages/control/src/membership/member.ts
@@ -1,28 +1,27 @@
 import { z } from 'zod';
 
-/** What a daemon is taken to be doing. */
 export const memberStateSchema = z.enum(['alive', 'leaving', 'suspect', 'dead']);
 export type MemberState = z.infer<typeof memberStateSchema>;
 
-/** A daemon as its peers know it. Each start of a process is a member of its own. */
+/** A daemon as seen by its peers. Each incarnation is a separate member. */
 export const memberSchema = z.object({
   id: z.string(),
-  /** Drawn anew by each process, so that a restarted one is not taken for the one before it. */
+  /** Random id of the process, which distinguishes it from earlier processes of the host. */
   incarnation: z.string(),
   controlAddress: z.string(),
   trafficAddress: z.string(),
   failureDomain: z.string(),
   region: z.string(),
   state: memberStateSchema,
-  /** Raised by the member alone, to refute what others say of it. */
+  /** Incremented only by the member itself, to announce a state or refute a suspicion. */
   version: z.int().min(0),
 });
 export type Member = z.infer<typeof memberSchema>;
 
-/** What a daemon says of itself when it starts. */
+/** Identity that a daemon announces at its start. */
 export type MemberIdentity = Omit<Member, 'state' | 'version'>;
 
-/** At the same version the graver state wins; only the member itself can raise the version. */
+/** Precedence of states at equal versions: the higher rank wins. */
 const STATE_RANK: Readonly<Record<MemberState, number>> = {
   alive: 0,
   leaving: 1,
@@ -30,12 +29,12 @@
   dead: 3,
 };
 
-/** Identifies one process of one host. */
+/** Key that identifies one process of one host. */
 export function memberKey(member: Pick<Member, 'id' | 'incarnation'>): string {
   return `${member.id}#${member.incarnation}`;
 }
 
-/** Whether an update says more than what is known. */
+/** Checks if an update takes precedence over the known state. */
 export function supersedes(update: Member, known: Member): boolean {
   if (update.version !== known.version) {
     return update.version > known.version;
@@ -43,12 +42,12 @@
   return STATE_RANK[update.state] > STATE_RANK[known.state];
 }
 
-/** Whether a member may be asked for anything: it runs, as far as is known. */
+/** Checks if a member is not known to be dead, so that it may be called. */
 export function isRunning(member: Member): boolean {
   return member.state !== 'dead';
 }
 
-/** Whether a member may be named to callers and given new duties. */
+/** Checks if a member may be listed to callers and assigned new work. */
 export function isServing(member: Member): boolean {
   return member.state === 'alive' || member.state === 'suspect';
 }
--- a/packages/control/src/membership/membership.ts
+++ b/packages/control/src/membership/membership.ts
@@ -11,16 +11,16 @@
 import { MemberTable } from './member-table.js';
 
 const DEFAULT_HEARTBEAT_MILLISECONDS = 1_000;
-/** Share of heartbeats to other domains that try a contact again that did not answer. */
-const RETRY_SHARE = 0.25;
-/** Contacts in other domains that hear at first hand that this daemon leaves. */
-const CONTACTS_TOLD = 24;
-/** Peers asked to try for themselves before a silent one becomes suspect. */
+/** Probability that a heartbeat to another domain retries an unreachable contact. */
+const UNREACHABLE_RETRY_PROBABILITY = 0.25;
+/** Contacts in other domains that this daemon notifies directly when it leaves. */
+const LEAVE_NOTIFICATION_CONTACTS = 24;
+/** Peers that probe an unresponsive member before it becomes suspect. */
 const INDIRECT_PROBES = 2;
-/** Heartbeats that a suspect has time to refute in, over the logarithm of the members. */
+/** Suspicion timeout in heartbeat intervals per log2 of the number of members. */
 const SUSPICION_FACTOR = 3;
-/** Heartbeats between two looks at the platform's host list, in a small domain. */
-const DIRECTORY_ROUNDS = 2;
+/** Minimum number of heartbeat rounds between reads of the platform's host list. */
+const MINIMUM_DIRECTORY_ROUNDS = 2;
 
 export interface MembershipOptions {
   readonly identity: MemberIdentity;
@@ -33,9 +33,8 @@
 }
 
 /**
- * Who serves. Every daemon knows all members of its own failure domain by heartbeats to one of them
- * at a time (SWIM: indirect probes, suspicion, refutation), and of other domains a summary with a
- * few contacts, so that what it costs does not grow with the fleet.
+ * SWIM membership within a failure domain (indirect probes, suspicion, refutation). Other domains
+ * are known by summaries with a few contacts, so that the cost does not grow with the fleet.
  */
 export class Membership {
   readonly members: MemberTable;
@@ -45,8 +44,8 @@
   readonly #participants: HeartbeatParticipant[] = [];
   readonly #tasks: BackgroundTasks;
   #roundOrder: Member[] = [];
-  #heardFromPeerAt = -Infinity;
-  /** Hosts that the platform lists as leaving. */
+  #lastReceivedAt = -Infinity;
+  /** Ids of the hosts that the platform lists as leaving. */
   #leavingHosts: ReadonlySet<string> = new Set();
   #leavingAddresses: ReadonlySet<string> = new Set();
   #leavingVersion = '';
@@ -69,14 +68,14 @@
     return this.#leavingHosts;
   }
 
-  /** Calls the listener with the addresses of hosts that the platform lists as leaving. */
+  /** Registers a listener for the addresses of hosts that the platform lists as leaving. */
   onLeavingAddresses(listener: (addresses: ReadonlySet<string>) => void): void {
     this.#leavingListeners.push(listener);
   }
 
-  /** Milliseconds since a peer was last heard; infinite when none ever was. */
+  /** Milliseconds since the last heartbeat from a peer; infinite before the first one. */
   get silenceMilliseconds(): number {
-    return this.#options.clock.now() - this.#heardFromPeerAt;
+    return this.#options.clock.now() - this.#lastReceivedAt;
   }
 
   addParticipant(participant: HeartbeatParticipant): void {
@@ -84,9 +83,9 @@
   }
 
   register(router: PeerRouter): void {
-    router.handle('membership.heartbeat', (request) => this.#answerHeartbeat(request));
+    router.handle('membership.heartbeat', (request) => this.#handleHeartbeat(request));
     router.handle('membership.probe', async ({ address, incarnation }) => ({
-      reached: await this.#reaches(address, incarnation),
+      reached: await this.#probe(address, incarnation),
     }));
     router.handle('membership.domains', ({ summaries }) => {
       summaries.forEach((summary) => {
@@ -100,35 +99,35 @@
     this.#tasks.start('membership', (signal) => this.#run(signal));
   }
 
-  /** Ends the heartbeats without a word to anyone, as a crash would. */
+  /** Stops the heartbeats without notifying peers, like a crash. */
   async stop(): Promise<void> {
     await this.#tasks.stop();
   }
 
-  /** Tells peers that this daemon takes no new callers. */
+  /** Notifies peers that this daemon accepts no new callers. */
   async announceLeaving(): Promise<void> {
     this.members.announce('leaving');
-    await this.#tellSeveral();
+    await this.#notifyPeers();
   }
 
-  /** Tells peers that this daemon is gone, so that none has to find out. */
+  /** Notifies peers that this daemon terminates, so that they need not detect it. */
   async announceGone(): Promise<void> {
     this.members.announce('dead');
-    await this.#tellSeveral();
+    await this.#notifyPeers();
     await this.stop();
   }
 
-  /** Every peer that can be talked to: the own domain's members and the other domains' contacts. */
+  /** Running members of the own domain and reachable contacts of the others. */
   knownPeers(): Member[] {
     return [...this.members.others(), ...this.domains.reachableContacts()];
   }
 
-  /** Changes whenever the set of known members, or what is known of one, changes. */
+  /** Version of the view, which changes with the set of known members or the state of one. */
   get viewVersion(): string {
     return `${this.members.changes} ${this.domains.changes} ${this.#leavingVersion}`;
   }
 
-  /** Every daemon known to run, this one included. */
+  /** This daemon and all known peers. */
   knownMembers(): Member[] {
     return [this.self, ...this.knownPeers()];
   }
@@ -136,7 +135,7 @@
   async #run(signal: AbortSignal): Promise<void> {
     for (let round = 0; !signal.aborted; round++) {
       if (round % this.#directoryRounds() === 0) {
-        await this.#consultDirectory();
+        await this.#discoverHosts();
       }
       await Promise.all([this.#heartbeatOwnDomain(), this.#heartbeatOtherDomain()]);
       this.members.expire(this.#suspicionMilliseconds());
@@ -146,32 +145,32 @@
     }
   }
 
-  /** Greets hosts of the list that are not known yet: at the start, and after a split has healed. */
-  async #consultDirectory(): Promise<void> {
+  /** Joins listed hosts that are not known yet, at the start and after a partition has healed. */
+  async #discoverHosts(): Promise<void> {
     const listed = await this.#options.directory.list();
     if (listed.isErr()) {
       this.#options.logger.warn('host list unavailable', { error: listed.error });
       return;
     }
-    this.#noteLeaving(listed.value);
+    this.#recordLeaving(listed.value);
     const known = new Set(this.knownMembers().map((member) => member.controlAddress));
-    const strangers = listed.value.flatMap(({ controlAddress, failureDomain }) =>
+    const unknownHosts = listed.value.flatMap(({ controlAddress, failureDomain }) =>
       controlAddress === undefined || known.has(controlAddress)
         ? []
         : [{ controlAddress, failureDomain }],
     );
     const isLocal = (domain: string): boolean => domain === this.self.failureDomain;
-    const local = strangers.filter((host) => isLocal(host.failureDomain));
-    const remote = strangers.filter((host) => !isLocal(host.failureDomain));
-    const greeted = [
+    const local = unknownHosts.filter((host) => isLocal(host.failureDomain));
+    const remote = unknownHosts.filter((host) => !isLocal(host.failureDomain));
+    const selected = [
       ...shuffled(this.#options.random, local).slice(0, 3),
       ...shuffled(this.#options.random, remote).slice(0, 2),
     ];
-    await Promise.all(greeted.map((host) => this.#heartbeat(host.controlAddress, true)));
+    await Promise.all(selected.map((host) => this.#heartbeat(host.controlAddress, true)));
   }
 
-  /** Passes on what the list says of this domain's hosts; only the host itself can refute it. */
-  #noteLeaving(listed: readonly ListedHost[]): void {
+  /** Marks listed leaving hosts of this domain; only the host itself can refute it. */
+  #recordLeaving(listed: readonly ListedHost[]): void {
     const leaving = listed.filter((host) => host.state === 'leaving');
     this.#leavingHosts = new Set(leaving.map((host) => host.id));
     this.#leavingAddresses = new Set(leaving.map((host) => host.address));
@@ -189,9 +188,9 @@
     }
   }
 
-  /** Rounds between two looks at the list: its readers in a domain take turns, however many. */
+  /** Rounds between reads of the host list, which keep a domain's read rate constant. */
   #directoryRounds(): number {
-    return Math.max(DIRECTORY_ROUNDS, this.members.running().length);
+    return Math.max(MINIMUM_DIRECTORY_ROUNDS, this.members.running().length);
   }
 
   async #heartbeatOwnDomain(): Promise<void> {
@@ -200,7 +199,7 @@
       return;
     }
     const answered = await this.#heartbeat(peer.controlAddress, false);
-    if (!answered && !(await this.#reachedIndirectly(peer))) {
+    if (!answered && !(await this.#probeIndirectly(peer))) {
       this.members.mark(memberKey(peer), 'suspect');
     }
   }
@@ -215,17 +214,18 @@
     }
   }
 
-  /** Mostly one that answers, now and then one that did not, to find out when it is back. */
+  /** Picks a reachable contact, or at times an unreachable one to detect its recovery. */
   #nextContact(): Member | undefined {
     const { random } = this.#options;
     const reachable = this.domains.reachableContacts();
     const unreachable = this.domains.unreachableContacts();
-    const tryAgain = reachable.length === 0 || random.next() < RETRY_SHARE;
-    const preferred = tryAgain && unreachable.length > 0 ? unreachable : reachable;
+    const retryUnreachable =
+      reachable.length === 0 || random.next() < UNREACHABLE_RETRY_PROBABILITY;
+    const preferred = retryUnreachable && unreachable.length > 0 ? unreachable : reachable;
     return pickOne(random, preferred);
   }
 
-  /** Each peer once in random order before any comes again, so that none waits long. */
+  /** Picks each peer once per shuffled round, which bounds the time between heartbeats. */
   #nextPeer(): Member | undefined {
     for (;;) {
       if (this.#roundOrder.length === 0) {
@@ -269,7 +269,7 @@
     }
   }
 
-  async #reachedIndirectly(peer: Member): Promise<boolean> {
+  async #probeIndirectly(peer: Member): Promise<boolean> {
     const helpers = shuffled(this.#options.random, this.knownPeers())
       .filter((member) => memberKey(member) !== memberKey(peer))
       .slice(0, INDIRECT_PROBES);
@@ -286,7 +286,7 @@
     return answers.some((answer) => answer.isOk() && answer.value.reached);
   }
 
-  async #reaches(address: string, incarnation: string): Promise<boolean> {
+  async #probe(address: string, incarnation: string): Promise<boolean> {
     const answer = await this.#options.peers.call(address, 'membership.heartbeat', {
       ...this.#fields(),
       joining: false,
@@ -294,24 +294,24 @@
     return answer.isOk() && answer.value.from.incarnation === incarnation;
   }
 
-  #answerHeartbeat(request: PeerParams<'membership.heartbeat'>): HeartbeatFields {
-    // A request may have been held up on its way; only an answer has a known earliest time.
+  #handleHeartbeat(request: PeerParams<'membership.heartbeat'>): HeartbeatFields {
+    // A request may have been delayed in transit; only a response has a known earliest time.
     this.#receive(request, -Infinity);
     const fields = this.#fields();
     if (!request.joining) {
-      return { ...fields, updates: [...fields.updates, ...this.#viewOf(request.from)] };
+      return { ...fields, updates: [...fields.updates, ...this.#suspicionsOf(request.from)] };
     }
     return { ...fields, updates: this.members.all() };
   }
 
-  /** What is said here of the sender, so that it can refute it. */
-  #viewOf(sender: Member): Member[] {
+  /** The sender's entry if it is not alive here, so that the sender can refute it. */
+  #suspicionsOf(sender: Member): Member[] {
     const known = this.members.get(memberKey(sender));
     return known !== undefined && known.state !== 'alive' ? [known] : [];
   }
 
   #receive(fields: HeartbeatFields, notBefore: number): void {
-    this.#heardFromPeerAt = this.#options.clock.now();
+    this.#lastReceivedAt = this.#options.clock.now();
     const { from } = fields;
     if (from.failureDomain === this.self.failureDomain) {
       this.members.merge(from);
@@ -348,15 +348,18 @@
     ) as HeartbeatFields;
   }
 
-  /** Tells the whole own domain, and enough others that the rest hears soon. */
-  async #tellSeveral(): Promise<void> {
+  /** Sends a heartbeat to the whole own domain and to some contacts in other domains. */
+  async #notifyPeers(): Promise<void> {
     this.#refreshSummary();
     const contacts = shuffled(this.#options.random, this.domains.reachableContacts());
-    const told = [...this.members.others(), ...contacts.slice(0, CONTACTS_TOLD)];
-    await Promise.all(told.map((member) => this.#heartbeat(member.controlAddress, false)));
+    const recipients = [
+      ...this.members.others(),
+      ...contacts.slice(0, LEAVE_NOTIFICATION_CONTACTS),
+    ];
+    await Promise.all(recipients.map((member) => this.#heartbeat(member.controlAddress, false)));
   }
 
-  /** The serving member with the lowest id writes the domain's summary; no one is elected. */
+  /** Publishes the domain's summary from its running member with the lowest id, or one that ends. */
   #refreshSummary(): void {
     const running = this.members.running();
     const writer = running.map((member) => member.id).sort()[0];
--- a/packages/control/src/peer/peer-client.ts
+++ b/packages/control/src/peer/peer-client.ts
@@ -4,10 +4,10 @@
 import { peerMethods } from './peer-methods.js';
 import type { PeerFailure, PeerTransport } from './peer-transport.js';
 
-/** Time after which a call to a peer counts as lost. */
+/** Default timeout of a call to a peer. */
 export const PEER_TIMEOUT_MILLISECONDS = 500;
 
-/** Calls peers with typed parameters and checks what they answer. */
+/** Typed RPC client that validates the results of peers. */
 export class PeerClient {
   constructor(readonly transport: PeerTransport) {}
 
@@ -17,11 +17,11 @@
     params: PeerParams<Method>,
     timeoutMilliseconds = PEER_TIMEOUT_MILLISECONDS,
   ): Promise<Result<PeerResult<Method>, PeerFailure>> {
-    const answer = await this.transport.call({ address, method, params, timeoutMilliseconds });
-    if (answer.isErr()) {
-      return answer;
+    const response = await this.transport.call({ address, method, params, timeoutMilliseconds });
+    if (response.isErr()) {
+      return response;
     }
-    const parsed = peerMethods[method].result.safeParse(answer.value);
+    const parsed = peerMethods[method].result.safeParse(response.value);
     return parsed.success
       ? Ok(parsed.data as PeerResult<Method>)
       : Err({ kind: 'rejected', message: `${method}: unexpected answer: ${parsed.error.message}` });
--- a/packages/control/src/peer/peer-methods.ts
+++ b/packages/control/src/peer/peer-methods.ts
@@ -3,36 +3,36 @@
 import { domainSummarySchema } from '../membership/domain-summary.js';
 import { memberSchema } from '../membership/member.js';
 
-/** What each side of a heartbeat says of itself. */
+/** Fields that both sides of a heartbeat send. */
 const heartbeatFieldsSchema = z.object({
   from: memberSchema,
-  /** News about members of the sender's failure domain. */
+  /** Updates about members of the sender's failure domain. */
   updates: z.array(memberSchema),
   domainsDigest: z.string(),
-  /** Contacts in other domains that did not answer the sender, and how long ago. */
+  /** Contacts in other domains that did not respond to the sender, with the age of the failure. */
   unreachable: z.array(z.object({ key: z.string(), ageMilliseconds: z.number().min(0) })),
   configurationDigest: z.string(),
   /** Age of the last confirmation, direct or through peers, that the configuration is current. */
   configurationAgeMilliseconds: z.number().min(0).nullable(),
-  /** Positions whose holders the sender no longer vouches for. */
+  /** Positions whose holders the sender no longer confirms. */
   reclaimNotices: z.array(z.int().min(0)),
-  /** Positions that the sender holds, and may vouch for others with. */
+  /** Positions that the sender holds, and with which it may confirm other holders. */
   positions: z.array(z.int().min(0)),
-  /** Requests that were at targets when these ended, as rows of text; empty where there are none. */
+  /** Requests in flight at targets that crashed, as rows of text; empty if there are none. */
   suspects: z.string().default(''),
 });
 export type HeartbeatFields = z.infer<typeof heartbeatFieldsSchema>;
 
 const generationsSchema = z.record(z.string(), generationSchema);
 
-/** A change in the form of a merge patch (RFC 7396) to the generation before it. */
+/** Change of a document as a merge patch (RFC 7396) to an earlier generation. */
 export const configurationDeltaSchema = z.object({
   account: z.string(),
   fromGeneration: generationSchema,
   generation: generationSchema,
   changeId: changeIdSchema,
   patch: z.unknown(),
-  /** Digest of the whole document after the patch. */
+  /** Digest of the patched document. */
   digest: z.string(),
 });
 export type ConfigurationDelta = z.infer<typeof configurationDeltaSchema>;
@@ -43,14 +43,14 @@
   durationMilliseconds: z.number().min(0),
 });
 
-/** One slot of a target. */
+/** Loan of one slot of a target. */
 const slotLoanSchema = z.object({ loanId: z.string(), target: z.string() });
 
-/** Every call between daemons, with what is sent and what comes back. */
+/** Parameters and results of all RPC methods between daemons. */
 export const peerMethods = {
   'membership.heartbeat': {
     params: heartbeatFieldsSchema.extend({
-      /** Set by a daemon that knows no one yet: the answer then names every member. */
+      /** Set by a daemon that joins a peer: the response then lists every member. */
       joining: z.boolean(),
     }),
     result: heartbeatFieldsSchema,
@@ -75,7 +75,7 @@
     params: z.object({ account: z.string() }),
     result: z.object({ generation: generationSchema }),
   },
-  /** Asks for units of a limit, or, with a loan id used before, for more time. */
+  /** Borrows units of a limit; a known loan id extends that loan. */
   'allotments.borrow': {
     params: loanSchema.extend({
       limit: z.string(),
@@ -84,7 +84,7 @@
     }),
     result: z.object({ units: z.int().min(0) }),
   },
-  /** Asks where a service's traffic goes now, as a start for a daemon that has just begun. */
+  /** Reads the current traffic distribution of a service, as initial state for a new daemon. */
   'placement.shares': {
     params: z.object({ account: z.string(), service: z.string() }),
     result: z.object({
@@ -96,13 +96,13 @@
     params: z.object({ loanId: z.string(), borrower: z.string() }),
     result: z.object({}),
   },
-  /** Asks for free slots of any targets of a service. */
+  /** Borrows free slots of any targets of a service. */
   'slots.borrow': {
     params: loanSchema.extend({
       account: z.string(),
       service: z.string(),
       slots: z.int().min(1),
-      /** How long the question may be kept while no slot is free. */
+      /** Maximum time to hold the request while no slot is free. */
       waitMilliseconds: z.number().min(0),
     }),
     result: z.object({ loans: z.array(slotLoanSchema) }),
@@ -116,12 +116,12 @@
     }),
     result: z.object({}),
   },
-  /** Asks for more time for a borrowed slot. */
+  /** Extends the loan of a slot. */
   'slots.prolong': {
     params: loanSchema.extend({ account: z.string(), service: z.string(), limit: z.string() }),
     result: z.object({ prolonged: z.boolean() }),
   },
-  /** Asks the holder of a position to stop vouching for another position's holder. */
+  /** Asks the holder of a position to stop confirming another position's holder. */
   'allotments.notice': {
     params: z.object({ position: z.int().min(0), holder: z.string() }),
     result: z.object({ positions: z.array(z.int().min(0)) }),
--- a/packages/control/src/peer/peer-router.ts
+++ b/packages/control/src/peer/peer-router.ts
@@ -4,10 +4,10 @@
 
 type Handler = (params: never) => unknown;
 
-/** A call that was refused; the message goes back to the peer. */
+/** Rejection of a call; the message is returned to the peer. */
 export class PeerCallRejected extends Error {}
 
-/** Takes peers' calls to the components that answer them. */
+/** Dispatches RPC calls from peers to the registered handlers. */
 export class PeerRouter {
   readonly #handlers = new Map<string, Handler>();
 
@@ -22,7 +22,7 @@
     return Object.keys(peerMethods);
   }
 
-  /** Checks the parameters and calls the handler. Throws {@link PeerCallRejected}. */
+  /** Validates the parameters and calls the handler. Throws {@link PeerCallRejected}. */
   async dispatch(method: string, params: unknown): Promise<unknown> {
     const handler = this.#handlers.get(method);
     if (handler === undefined || !isPeerMethod(method)) {
--- a/packages/control/src/peer/peer-transport.ts
+++ b/packages/control/src/peer/peer-transport.ts
@@ -1,10 +1,10 @@
 import type { Result } from 'ts-results-es';
 
-/** Why a call to a peer brought no result. */
+/** Failure of a call to a peer. */
 export interface PeerFailure {
   /**
-   * `refused`: the peer's host says that nothing listens there. `rejected`: the peer answered with
-   * an error. `lost`: no answer in time, so it may or may not have been carried out.
+   * `refused`: the connection was refused. `rejected`: the peer returned an error. `lost`: no
+   * response in time, so the call may or may not have been executed.
    */
   readonly kind: 'refused' | 'rejected' | 'lost';
   readonly message: string;
@@ -17,7 +17,7 @@
   readonly timeoutMilliseconds: number;
 }
 
-/** Carries calls between daemons. */
+/** Transport for RPC calls between daemons. */
 export interface PeerTransport {
   call(call: PeerCall): Promise<Result<unknown, PeerFailure>>;
 }
--- a/packages/control/tests/membership/membership.test.ts
+++ b/packages/control/tests/membership/membership.test.ts
@@ -5,7 +5,7 @@
 
 const DOMAIN = { domains: 1, hostsPerDomain: 8 };
 
-/** How the other daemons of its domain see one. */
+/** Distinct states of a daemon in the member tables of the others. */
 function statesSeen(fleet: ControlFleet, node: ControlNode): string[] {
   const key = memberKey(node.membership.self);
   const others = fleet.nodes.filter((other) => other !== node);
@@ -13,7 +13,7 @@
 }
 
 describe('Membership', () => {
-  it('knows every member of the domain, and other domains by their contacts', async () => {
+  it('lists all members of the own domain and the contacts of other domains', async () => {
     const fleet = await ControlFleet.start({
       domains: 4,
       hostsPerDomain: 8,
@@ -26,7 +26,7 @@
     fleet.stop();
   });
 
-  it('finds a dead host', async () => {
+  it('detects a dead host', async () => {
     const fleet = await ControlFleet.start(DOMAIN);
     const victim = fleet.node(3);
     fleet.kill(victim);
@@ -35,7 +35,7 @@
     fleet.stop();
   });
 
-  it.each([200, 2_000])('keeps a member that pauses for %i ms now and then', async (pause) => {
+  it.each([200, 2_000])('keeps a member that repeatedly pauses for %i ms', async (pause) => {
     const fleet = await ControlFleet.start(DOMAIN);
     const paused = fleet.node(3);
     for (let round = 0; round < 5; round++) {
@@ -50,7 +50,7 @@
     fleet.stop();
   });
 
-  it('takes a member back that was paused for so long that it was taken for dead', async () => {
+  it('readmits a member that was declared dead during a long pause', async () => {
     const fleet = await ControlFleet.start(DOMAIN);
     const paused = fleet.node(3);
     paused.process.pause();
@@ -62,7 +62,7 @@
     fleet.stop();
   });
 
-  it('suspects no one wrongly for long when one in a hundred messages is lost', async () => {
+  it('declares no live member dead at 1 % message loss', async () => {
     const fleet = await ControlFleet.start(DOMAIN);
     fleet.network.faults.lossShare = 0.01;
     for (let second = 0; second < 120; second++) {
@@ -74,7 +74,7 @@
     fleet.stop();
   });
 
-  it('takes a restarted process for a new member and the one before it for gone', async () => {
+  it('replaces the earlier incarnation of a restarted host', async () => {
     const fleet = await ControlFleet.start(DOMAIN);
     const before = fleet.node(3);
     fleet.kill(before);
@@ -85,7 +85,7 @@
     fleet.stop();
   });
 
-  it('stops naming a member that announces that it leaves', async () => {
+  it('stops listing a member that announces that it leaves', async () => {
     const fleet = await ControlFleet.start(DOMAIN);
     const leaving = fleet.node(3);
     void leaving.membership.announceLeaving();
@@ -98,7 +98,7 @@
     fleet.stop();
   });
 
-  it('stops naming a member that the host list shows as leaving', async () => {
+  it('marks a member as leaving when the host list does', async () => {
     const fleet = await ControlFleet.start(DOMAIN);
     const leaving = fleet.node(3);
     fleet.listed = fleet.listed.map((host) =>
@@ -110,9 +110,9 @@
   });
 
   it.each([
-    ['a host list that shows nobody', () => []],
+    ['an empty host list', () => []],
     [
-      'a host list of hosts that never were',
+      'a host list of nonexistent hosts',
       (fleet: ControlFleet) =>
         fleet.listed.map((host, index) => ({
           ...host,
@@ -120,7 +120,7 @@
           controlAddress: `10.9.9.${index}:8081`,
         })),
     ],
-  ])('is not misled by %s', async (_name, wrong) => {
+  ])('keeps its members with %s', async (_name, wrong) => {
     const fleet = await ControlFleet.start(DOMAIN);
     fleet.listed = wrong(fleet);
     await fleet.clock.advance(30_000);
@@ -130,7 +130,7 @@
     fleet.stop();
   });
 
-  it('comes together again after a split, without a flood', async () => {
+  it('merges after a partition without a burst of calls', async () => {
     const fleet = await ControlFleet.start({
       domains: 2,
       hostsPerDomain: 8,
