--- a/packages/control/src/configuration/configuration-delta.ts
+++ b/packages/control/src/configuration/configuration-delta.ts
@@ -4,7 +4,7 @@
 import { apply, generate } from 'json-merge-patch';
 import type { ConfigurationDelta } from '../peer/peer-methods.js';
 
-/** The change from one document to the next as a merge patch (RFC 7396). */
+/** Creates the merge patch (RFC 7396) between two documents. */
 export function makeDelta(
   before: ConfigurationDocument | undefined,
   after: ConfigurationDocument,
@@ -20,7 +20,7 @@
   };
 }
 
-/** The document after the patch, or undefined where the patch does not lead to the one meant. */
+/** Applies a patch; undefined if the base generation or the resulting digest does not match. */
 export function applyDelta(
   before: ConfigurationDocument | undefined,
   delta: ConfigurationDelta,
@@ -37,7 +37,7 @@
   return parsed.data;
 }
 
-/** A digest that does not depend on the order of keys. */
+/** Digest of a document, independent of the order of keys. */
 export function contentDigest(document: ConfigurationDocument): string {
   return sha256(JSON.stringify(sortKeys(document)));
 }
--- a/packages/control/src/configuration/configuration-keys.ts
+++ b/packages/control/src/configuration/configuration-keys.ts
@@ -1,13 +1,13 @@
-/** Keys in the platform's key-value service. */
+/** Key prefix in the platform's key-value service. */
 export const CONFIGURATION_PREFIX = 'ferrylock/configuration/';
 const HISTORY_PREFIX = 'ferrylock/history/';
 
-/** Where an account's current document stands. */
+/** Key of an account's current document. */
 export function configurationKey(account: string): string {
   return `${CONFIGURATION_PREFIX}${account}`;
 }
 
-/** Where an earlier document stands, for a roll-back. */
+/** Key of an earlier document, for rollbacks. */
 export function historyKey(account: string, generation: number): string {
   return `${HISTORY_PREFIX}${account}/${generation}`;
 }
--- a/packages/control/src/configuration/configuration-replica.ts
+++ b/packages/control/src/configuration/configuration-replica.ts
@@ -4,16 +4,16 @@
 type ChangeListener = (document: ConfigurationDocument) => void;
 
 /**
- * The configuration of all accounts as one daemon holds it. It only ever moves forward: a document
- * of a lower generation is refused, whether it comes from a peer, a watch or the store itself.
+ * One daemon's copy of the configuration of all accounts. Generations are monotonic: an older
+ * document is rejected, whether it comes from a peer, a watch or the store.
  */
 export class ConfigurationReplica {
   readonly #documents = new Map<string, ConfigurationDocument>();
   readonly #listeners: ChangeListener[] = [];
-  /** The hashes of all accounts' generations, combined so that one changes without the others. */
+  /** XOR of the hashes of all accounts' generations, which allows incremental updates. */
   #digest = 0;
 
-  /** Equal at two daemons exactly when they hold the same generations. */
+  /** Digest of all generations, for comparison with other daemons. */
   get digest(): string {
     return `${this.#documents.size}-${(this.#digest >>> 0).toString(16)}`;
   }
@@ -35,19 +35,19 @@
     return Object.fromEntries(entries);
   }
 
-  /** Documents that are newer here than the given generations. */
+  /** Documents with a higher generation than the given one. */
   newerThan(generations: Readonly<Record<string, number>>): ConfigurationDocument[] {
     return this.all().filter(
       (document) => document.generation > (generations[document.account] ?? 0),
     );
   }
 
-  /** Calls the listener for each document that comes into force. */
+  /** Registers a listener for each document that takes effect. */
   onChange(listener: ChangeListener): void {
     this.#listeners.push(listener);
   }
 
-  /** Puts a document in force if it is newer than the one held; says whether it was. */
+  /** Applies a document if it is newer than the current one; returns true if so. */
   offer(document: ConfigurationDocument): boolean {
     const held = this.#documents.get(document.account);
     if (held !== undefined && held.generation >= document.generation) {
--- a/packages/control/src/configuration/configuration-service.ts
+++ b/packages/control/src/configuration/configuration-service.ts
@@ -13,19 +13,19 @@
 import type { ConfigurationReplica } from './configuration-replica.js';
 import { readStoredDocument } from './stored-document.js';
 
-/** The platform's service holds values up to a megabyte; a larger document is refused whole. */
+/** Size limit of a document, from the value limit of the platform's key-value service. */
 const MAXIMUM_DOCUMENT_BYTES = 1_000_000;
-/** Changes whose ids a document remembers. */
+/** Maximum number of change records in a document, which detect repeated requests. */
 const REMEMBERED_CHANGES = 100;
-/** Tries to find out what became of a write whose reply was lost. */
+/** Attempts to resolve the outcome of a write whose reply was lost. */
 const RESOLVE_ATTEMPTS = 5;
-const RESOLVE_PAUSE_MILLISECONDS = 200;
+const RESOLVE_INTERVAL_MILLISECONDS = 200;
 
-/** A change as an operator asks for it. */
+/** Change requested by an operator. */
 export interface ChangeRequest {
   readonly account: string;
   readonly changeId: string;
-  /** The generation that the operator saw when making the change. */
+  /** Generation that the operator's change is based on. */
   readonly basedOn: number;
   readonly author: string;
   readonly kind: ChangeRecord['kind'];
@@ -38,7 +38,7 @@
   | { readonly kind: 'tooLarge'; readonly bytes: number; readonly maximumBytes: number }
   | { readonly kind: 'notFound'; readonly message: string };
 
-/** What a change makes of the document before it. */
+/** Computes the changed parts of a document from its previous version. */
 type Edit = (
   before: ConfigurationDocument | undefined,
 ) => Result<Pick<ConfigurationDocument, 'declaration' | 'drains'>, ChangeFailure>;
@@ -53,11 +53,11 @@
   readonly replica: ConfigurationReplica;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Called with each document that has become durable. */
+  /** Called with each document that was stored. */
   readonly onStored: (document: ConfigurationDocument) => void;
 }
 
-/** Makes operators' changes durable by compare-and-swap, each at most once. */
+/** Stores operators' changes by compare-and-swap, each at most once. */
 export class ConfigurationService {
   readonly #options: ConfigurationServiceOptions;
 
@@ -65,7 +65,7 @@
     this.#options = options;
   }
 
-  /** Replaces the account's declaration; drains stay as they are. */
+  /** Replaces the account's declaration and keeps its drains. */
   apply(
     request: ChangeRequest,
     declaration: Declaration,
@@ -73,7 +73,7 @@
     return this.#change(request, (before) => Ok({ declaration, drains: before?.drains ?? [] }));
   }
 
-  /** Puts the declaration of an earlier generation in force again. */
+  /** Reinstates the declaration of an earlier generation as a new one. */
   async rollback(
     request: ChangeRequest,
     toGeneration: number,
@@ -91,7 +91,6 @@
     );
   }
 
-  /** Adds a drain. */
   drain(request: ChangeRequest, drain: Drain): Promise<Result<ChangeResult, ChangeFailure>> {
     return this.#changeDrains(request, (drains) => [
       ...drains.filter((other) => !sameDrain(other, drain)),
@@ -99,7 +98,6 @@
     ]);
   }
 
-  /** Takes a drain away. */
   undrain(request: ChangeRequest, drain: Drain): Promise<Result<ChangeResult, ChangeFailure>> {
     return this.#changeDrains(request, (drains) =>
       drains.filter((other) => !sameDrain(other, drain)),
@@ -143,14 +141,14 @@
     return this.#store(base.value.stored, document);
   }
 
-  /** The newest document known: the store's, or the replica's where the store has fallen behind. */
+  /** Reads the newest known document: the store's, or the replica's if the store is behind. */
   async #readBase(account: string): Promise<Result<Base, StoreFailure>> {
     const read = await this.#options.store.get(configurationKey(account));
     return read.map((stored) => {
       const inStore = readStoredDocument(stored);
       const held = this.#options.replica.get(account);
-      const behind = (held?.generation ?? 0) > (inStore?.generation ?? 0);
-      return { stored, document: behind ? held : inStore };
+      const isStoreBehind = (held?.generation ?? 0) > (inStore?.generation ?? 0);
+      return { stored, document: isStoreBehind ? held : inStore };
     });
   }
 
@@ -173,8 +171,8 @@
   }
 
   /**
-   * Writes the document against the revision it was made from. Every try names that same revision,
-   * so at most one of them takes effect, however late it arrives.
+   * Writes the document if the store is still at its base revision. All attempts expect the same
+   * revision, so at most one takes effect, even if it arrives late.
    */
   async #store(
     base: StoredValue | undefined,
@@ -193,20 +191,20 @@
       if (swap.isOk()) {
         return swap.value.swapped
           ? this.#stored(document, false)
-          : this.#settle(document, readStoredDocument(swap.value.current));
+          : this.#resolveMismatch(document, readStoredDocument(swap.value.current));
       }
       message = swap.error.message;
       mayBeStored ||= swap.error.mayHaveTakenEffect;
       if (!mayBeStored) {
         return Err({ kind: 'storeUnavailable', message });
       }
-      await this.#options.clock.sleep(RESOLVE_PAUSE_MILLISECONDS);
+      await this.#options.clock.sleep(RESOLVE_INTERVAL_MILLISECONDS);
     }
     return Err({ kind: 'outcomeUnknown', message });
   }
 
-  /** The revision had moved on: by this very change, or by someone else's. */
-  #settle(
+  /** Handles a changed revision, caused by an earlier attempt or by another change. */
+  #resolveMismatch(
     document: ConfigurationDocument,
     current: ConfigurationDocument | undefined,
   ): Result<ChangeResult, ChangeFailure> {
--- a/packages/control/src/configuration/configuration-sync.ts
+++ b/packages/control/src/configuration/configuration-sync.ts
@@ -20,18 +20,18 @@
 
 /** Daemons of each failure domain that watch the store. */
 const WATCHERS_PER_DOMAIN = 2;
-/** Pause between two looks at whether this daemon should watch, and after a watch was cut. */
+/** Interval of the check if this daemon should watch, and delay after a failed watch. */
 const WATCH_PAUSE_MILLISECONDS = 500;
-/** Without a confirmation for this long, a daemon turns to the store itself. */
-const SELF_WATCH_MILLISECONDS = 10_000;
-/** Pause between two signs of life asked of the store while watching it. */
-const SIGN_OF_LIFE_MILLISECONDS = 2_000;
-/** A watch is opened anew this often. */
+/** Time without a confirmation after which a daemon watches the store itself. */
+const UNCONFIRMED_WATCH_MILLISECONDS = 10_000;
+/** Interval of liveness checks of the store during a watch. */
+const LIVENESS_CHECK_MILLISECONDS = 2_000;
+/** Interval at which a watch is reopened. */
 const WATCH_RENEWAL_MILLISECONDS = 60_000;
-/** Peers from which a daemon must have learned before it serves while the store is down. */
-const PEERS_TO_LEARN_FROM = 2;
-/** With the store and most peers silent, one peer suffices after this long. */
-const LEARNING_MILLISECONDS = 5_000;
+/** Peers to synchronize with before a daemon is ready while the store is down. */
+const REQUIRED_SYNCED_PEERS = 2;
+/** Time after which one synchronized peer suffices. */
+const PEER_SYNC_MILLISECONDS = 5_000;
 const PULL_TIMEOUT_MILLISECONDS = 2_000;
 
 export interface ConfigurationSyncOptions {
@@ -45,20 +45,20 @@
 }
 
 /**
- * Brings every change to every daemon. A few daemons of each failure domain watch the store and push
- * what comes to their neighbours; heartbeats compare digests and repair what a push did not reach.
+ * Replicates the configuration to all daemons. A few daemons of each failure domain watch the store
+ * and push changes to the other members; missed pushes are repaired by digests in heartbeats.
  */
 export class ConfigurationSync implements HeartbeatParticipant {
   readonly #options: ConfigurationSyncOptions;
   readonly #tasks: BackgroundTasks;
-  readonly #learnedFrom = new Set<string>();
+  readonly #syncedPeers = new Set<string>();
   readonly #pulling = new Set<string>();
   readonly #startedAt: number;
-  /** Clock reading at which the configuration was last known to be current. */
-  #currentAt = -Infinity;
+  /** Clock time at which the configuration was last confirmed as current. */
+  #confirmedAt = -Infinity;
   #storeReadAt = -Infinity;
   readonly #seen = new SeenRevisions();
-  /** Whether a watch cannot go on from what was seen. */
+  /** Set if a watch cannot resume from the last revision seen. */
   #mustList = true;
   #watching = false;
 
@@ -68,31 +68,31 @@
     this.#startedAt = options.clock.now();
   }
 
-  /** Whether this daemon now holds a watch on the store. */
+  /** True while this daemon watches the store. */
   get watching(): boolean {
     return this.#watching;
   }
 
   /** Milliseconds since the configuration was last confirmed as current; infinite if never. */
   get ageMilliseconds(): number {
-    return this.#options.clock.now() - this.#currentAt;
+    return this.#options.clock.now() - this.#confirmedAt;
   }
 
   /**
-   * Whether this daemon may steer by what it holds: it has read the store, or heard enough peers
-   * that an older configuration than theirs is not taken up.
+   * True once the configuration may be used: the store was read, or the replica was synchronized
+   * with enough peers, so that it is not older than theirs.
    */
   get ready(): boolean {
     if (this.#storeReadAt > -Infinity) {
       return true;
     }
     const waited = this.#options.clock.now() - this.#startedAt;
-    const needed = waited < LEARNING_MILLISECONDS ? PEERS_TO_LEARN_FROM : 1;
-    return this.#learnedFrom.size >= needed;
+    const needed = waited < PEER_SYNC_MILLISECONDS ? REQUIRED_SYNCED_PEERS : 1;
+    return this.#syncedPeers.size >= needed;
   }
 
   register(router: PeerRouter): void {
-    router.handle('configuration.push', (request) => this.#takePush(request));
+    router.handle('configuration.push', (request) => this.#handlePush(request));
     router.handle('configuration.pull', ({ generations }) => ({
       documents: this.#options.replica.newerThan(generations),
     }));
@@ -123,14 +123,14 @@
       void this.#pull(from.controlAddress, memberKey(from));
       return;
     }
-    this.#learnedFrom.add(memberKey(from));
+    this.#syncedPeers.add(memberKey(from));
     const age = fields.configurationAgeMilliseconds;
     if (age !== null && heartbeat.notBefore > -Infinity) {
-      this.#currentAt = Math.max(this.#currentAt, heartbeat.notBefore - age);
+      this.#confirmedAt = Math.max(this.#confirmedAt, heartbeat.notBefore - age);
     }
   }
 
-  /** Takes up a document from the store or from an operator's call and tells the neighbours. */
+  /** Applies a document from the store or an operator and pushes it to the other members. */
   spread(document: ConfigurationDocument): void {
     const before = this.#options.replica.get(document.account);
     if (this.#options.replica.offer(document)) {
@@ -143,16 +143,16 @@
     document: ConfigurationDocument,
   ): Promise<void> {
     const delta = makeDelta(before, document);
-    const neighbours = shuffled(this.#options.random, this.#options.membership.members.others());
+    const members = shuffled(this.#options.random, this.#options.membership.members.others());
     await Promise.all(
-      neighbours.map((member) =>
+      members.map((member) =>
         this.#options.peers.call(member.controlAddress, 'configuration.push', { deltas: [delta] }),
       ),
     );
   }
 
-  /** Answers with the generations held; a push that does not fit is repaired by the next pull. */
-  #takePush(request: PeerParams<'configuration.push'>): PeerResult<'configuration.push'> {
+  /** Applies deltas and returns the generations; a mismatch is repaired by the next pull. */
+  #handlePush(request: PeerParams<'configuration.push'>): PeerResult<'configuration.push'> {
     const { replica } = this.#options;
     const generations: Record<string, number> = {};
     for (const delta of request.deltas) {
@@ -174,23 +174,23 @@
     }
     this.#pulling.add(key);
     const { replica, peers } = this.#options;
-    const answer = await peers.call(
+    const response = await peers.call(
       address,
       'configuration.pull',
       { generations: replica.generations() },
       PULL_TIMEOUT_MILLISECONDS,
     );
     this.#pulling.delete(key);
-    if (answer.isOk()) {
-      answer.value.documents.forEach((document) => replica.offer(document));
-      this.#learnedFrom.add(key);
+    if (response.isOk()) {
+      response.value.documents.forEach((document) => replica.offer(document));
+      this.#syncedPeers.add(key);
     }
   }
 
   async #runWatch(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.#options;
     for (;;) {
-      // First a pause: whoever starts gets to know its neighbours before it takes itself for chosen.
+      // Sleeps first, so that a new daemon learns of other members before the watchers are selected.
       await clock.sleep(jittered(random, WATCH_PAUSE_MILLISECONDS), signal);
       if (signal.aborted) {
         return;
@@ -201,16 +201,16 @@
     }
   }
 
-  /** The first few by rendezvous rank watch; so does whoever has had no confirmation for long. */
+  /** Selects watchers by rendezvous rank, plus daemons without a recent confirmation. */
   #shouldWatch(): boolean {
     const { membership } = this.#options;
     const { self } = membership;
     const candidates = membership.members.running().filter(isServing);
     const watchers = rendezvousRank('watch', candidates, memberKey).slice(0, WATCHERS_PER_DOMAIN);
-    const chosen = watchers.some((member) => memberKey(member) === memberKey(self));
+    const isSelected = watchers.some((member) => memberKey(member) === memberKey(self));
     const sinceStart = this.#options.clock.now() - this.#startedAt;
     const unconfirmed = Math.min(this.ageMilliseconds, sinceStart);
-    return chosen || unconfirmed > SELF_WATCH_MILLISECONDS;
+    return isSelected || unconfirmed > UNCONFIRMED_WATCH_MILLISECONDS;
   }
 
   async #watchOnce(signal: AbortSignal): Promise<void> {
@@ -222,13 +222,13 @@
     }
     this.#watching = true;
     while (this.#watching && !signal.aborted) {
-      const ended = AbortSignal.any([signal, this.#renewal(signal)]);
+      const ended = AbortSignal.any([signal, this.#renewalSignal(signal)]);
       const failure = await store.watch({
         prefix: CONFIGURATION_PREFIX,
         fromRevision: this.#seen.upTo + 1,
         signal: ended,
         onEvents: (events) => {
-          this.#takeEvents(events);
+          this.#applyEvents(events);
         },
       });
       this.#watching = ended.aborted && this.#shouldWatch();
@@ -241,9 +241,9 @@
   }
 
   /**
-   * Reads the whole configuration at the start, and again only where a watch cannot go on from the
-   * last revision seen, so that the end of an outage does not bring a flood of listings. A store that was put back from a
-   * backup may have the same id and have counted past that revision: its keys' revisions show it.
+   * Lists the configuration at the start, and again only if a watch cannot resume from the last
+   * revision seen, which avoids a burst of listings after an outage. A store restored from a backup
+   * may keep its id and have passed that revision; the revisions of its keys reveal it.
    */
   async #catchUp(): Promise<StoreFailure | undefined> {
     const { store } = this.#options;
@@ -258,13 +258,13 @@
     if (listing.isErr()) {
       return listing.error;
     }
-    await this.#takeListing(listing.value);
+    await this.#applyListing(listing.value);
     this.#seen.replace(revisionsOf(listing.value));
     this.#mustList = false;
     return undefined;
   }
 
-  #takeEvents(events: readonly StoreEvent[]): void {
+  #applyEvents(events: readonly StoreEvent[]): void {
     for (const event of events) {
       this.#seen.record(event.key, event.revision);
       const document = readStoredDocument(
@@ -277,29 +277,29 @@
   }
 
   /**
-   * Aborts when a watch is due to be opened anew: a connection can die without a sign. Until then
-   * it asks the store for signs of life, which is what the age of the configuration counts from.
+   * Aborts when a watch is due for renewal, since a connection can fail silently. Until then it
+   * checks the store's liveness, which confirms the configuration as current.
    */
-  #renewal(signal: AbortSignal): AbortSignal {
+  #renewalSignal(signal: AbortSignal): AbortSignal {
     const { clock, random, store } = this.#options;
-    const due = new AbortController();
+    const renewal = new AbortController();
     const until = clock.now() + jittered(random, WATCH_RENEWAL_MILLISECONDS);
     this.#tasks.start('configuration watch renewal', async () => {
       while (clock.now() < until && this.#shouldWatch() && this.#watching && !signal.aborted) {
-        await clock.sleep(jittered(random, SIGN_OF_LIFE_MILLISECONDS), signal);
-        const askedAt = clock.now();
+        await clock.sleep(jittered(random, LIVENESS_CHECK_MILLISECONDS), signal);
+        const requestedAt = clock.now();
         const state = await store.state();
         if (state.isOk() && this.watching) {
-          this.#currentAt = Math.max(this.#currentAt, askedAt);
+          this.#confirmedAt = Math.max(this.#confirmedAt, requestedAt);
         }
       }
-      due.abort();
+      renewal.abort();
     });
-    return due.signal;
+    return renewal.signal;
   }
 
-  /** Takes up what the store holds, and gives back what it has lost. */
-  async #takeListing(listing: StoreListing): Promise<void> {
+  /** Applies the store's documents and restores those that it has lost. */
+  async #applyListing(listing: StoreListing): Promise<void> {
     const { replica, clock } = this.#options;
     const readAt = clock.now();
     for (const stored of listing.values) {
@@ -309,11 +309,11 @@
       }
     }
     this.#storeReadAt = readAt;
-    this.#currentAt = readAt;
+    this.#confirmedAt = readAt;
     await this.#restoreLost(replica.all(), listing);
   }
 
-  /** A store put back from a backup is behind the fleet: the fleet's documents go back into it. */
+  /** Writes documents back to a store that is behind the fleet after a restore from a backup. */
   async #restoreLost(held: readonly ConfigurationDocument[], listing: StoreListing): Promise<void> {
     const stored = new Map(listing.values.map((value) => [value.key, value]));
     for (const document of held) {
--- a/packages/control/src/configuration/stored-document.ts
+++ b/packages/control/src/configuration/stored-document.ts
@@ -2,7 +2,7 @@
 import { configurationDocumentSchema } from '@ferrylock/schema';
 import type { StoredValue } from '@ferrylock/platform';
 
-/** Reads a stored document; undefined where the value is missing or not one of ours. */
+/** Parses a stored document; undefined if the value is missing or invalid. */
 export function readStoredDocument(
   stored: Pick<StoredValue, 'value'> | undefined,
 ): ConfigurationDocument | undefined {
--- a/packages/control/src/membership/membership.ts
+++ b/packages/control/src/membership/membership.ts
@@ -244,26 +244,26 @@
 
   async #heartbeat(address: string, joining: boolean): Promise<boolean> {
     const notBefore = this.#options.clock.now();
-    const answer = await this.#options.peers.call(address, 'membership.heartbeat', {
+    const response = await this.#options.peers.call(address, 'membership.heartbeat', {
       ...this.#fields(),
       joining,
     });
-    if (answer.isErr()) {
+    if (response.isErr()) {
       return false;
     }
-    this.#receive(answer.value, notBefore);
-    if (answer.value.domainsDigest !== this.domains.digest) {
+    this.#receive(response.value, notBefore);
+    if (response.value.domainsDigest !== this.domains.digest) {
       await this.#exchangeDomains(address);
     }
     return true;
   }
 
   async #exchangeDomains(address: string): Promise<void> {
-    const answer = await this.#options.peers.call(address, 'membership.domains', {
+    const response = await this.#options.peers.call(address, 'membership.domains', {
       summaries: this.domains.summaries(),
     });
-    if (answer.isOk()) {
-      answer.value.summaries.forEach((summary) => {
+    if (response.isOk()) {
+      response.value.summaries.forEach((summary) => {
         this.domains.merge(summary);
       });
     }
@@ -273,7 +273,7 @@
     const helpers = shuffled(this.#options.random, this.knownPeers())
       .filter((member) => memberKey(member) !== memberKey(peer))
       .slice(0, INDIRECT_PROBES);
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       helpers.map((helper) =>
         this.#options.peers.call(
           helper.controlAddress,
@@ -283,15 +283,15 @@
         ),
       ),
     );
-    return answers.some((answer) => answer.isOk() && answer.value.reached);
+    return responses.some((response) => response.isOk() && response.value.reached);
   }
 
   async #probe(address: string, incarnation: string): Promise<boolean> {
-    const answer = await this.#options.peers.call(address, 'membership.heartbeat', {
+    const response = await this.#options.peers.call(address, 'membership.heartbeat', {
       ...this.#fields(),
       joining: false,
     });
-    return answer.isOk() && answer.value.from.incarnation === incarnation;
+    return response.isOk() && response.value.from.incarnation === incarnation;
   }
 
   #handleHeartbeat(request: PeerParams<'membership.heartbeat'>): HeartbeatFields {
--- a/packages/control/src/seen-revisions.ts
+++ b/packages/control/src/seen-revisions.ts
@@ -1,13 +1,13 @@
 import type { StoreListing, StoreRevisions } from '@ferrylock/platform';
 
 /**
- * Revisions of keys as they were seen last, by which a store that was put back from a backup is known again. Its id may be the
- * same, and its revision may have passed the one that was seen: then revisions are given out again. Each key that was written
- * in the store's life before stands at another revision now, at one that had been seen long ago, or not at all.
+ * Last seen revisions of keys, which reveal that a store was restored from a backup. A restored
+ * store may have the same id and a later revision, as it reuses revisions; keys written after the
+ * backup then have a different revision or are missing.
  */
 export class SeenRevisions {
   #storeId = '';
-  /** Every change up to this revision was seen. */
+  /** Revision up to which all changes were seen. */
   #upTo = 0;
   readonly #revisions = new Map<string, number>();
 
@@ -15,7 +15,7 @@
     return this.#upTo;
   }
 
-  /** Takes a listing over as what was seen. */
+  /** Replaces the seen revisions by those of a listing. */
   replace({ storeId, revision, revisions }: StoreRevisions): void {
     this.#storeId = storeId;
     this.#upTo = revision;
@@ -25,13 +25,13 @@
     }
   }
 
-  /** A change of a key was seen, in the order of revisions. */
+  /** Records a change of a key; changes come in the order of revisions. */
   record(key: string, revision: number): void {
     this.#upTo = Math.max(this.#upTo, revision);
     this.#revisions.set(key, revision);
   }
 
-  /** Whether a store goes on from what was seen, so that what is new of it stands at later revisions alone. */
+  /** Checks if a store continues the seen history, so that only later revisions are new. */
   isContinuedBy({ storeId, revision, revisions }: StoreRevisions): boolean {
     if (storeId !== this.#storeId || revision < this.#upTo) {
       return false;
@@ -43,7 +43,7 @@
   }
 }
 
-/** The revisions of what a listing holds. */
+/** Extracts the revisions of a listing. */
 export function revisionsOf({ values, ...state }: StoreListing): StoreRevisions {
   return { ...state, revisions: new Map(values.map(({ key, revision }) => [key, revision])) };
 }
--- a/packages/control/tests/configuration/configuration-service.test.ts
+++ b/packages/control/tests/configuration/configuration-service.test.ts
@@ -20,7 +20,7 @@
   readonly second: Operator;
 }
 
-/** Two daemons that take operators' changes, with one store. */
+/** Creates two configuration services that share a store. */
 function setUp(): Setup {
   const clock = new FakeClock();
   const engine = new KeyValueEngine();
@@ -60,7 +60,7 @@
 }
 
 describe('ConfigurationService', () => {
-  it('gives the second of two operators a conflict that names both generations', async () => {
+  it('reports both generations in the conflict of the second of two operators', async () => {
     const setup = setUp();
     expect(await apply(setup, setup.first, { id: 'a', basedOn: 0 })).toMatchObject({
       generation: 1,
@@ -72,7 +72,7 @@
     });
   });
 
-  it('lets one of two changes win that reach the store at the same moment', async () => {
+  it('accepts exactly one of two concurrent changes', async () => {
     const setup = setUp();
     setup.engine.faults.slowMilliseconds = 50;
     const outcomes = await Promise.all([
@@ -84,7 +84,7 @@
     expect(generationInStore(setup.engine)).toBe(1);
   });
 
-  it('settles a write whose reply was lost by reading it back', async () => {
+  it('resolves a write with a lost reply by reading it back', async () => {
     const setup = setUp();
     setup.engine.faults.loseWriteReplies = true;
     const outcome = service(setup);
@@ -102,7 +102,7 @@
     }
   });
 
-  it('says that the outcome is unknown while replies stay lost, and applies a repeat once', async () => {
+  it('reports an unknown outcome while replies are lost, and applies a repeat once', async () => {
     const setup = setUp();
     setup.engine.faults.loseWriteReplies = true;
     const lost = await apply(setup, setup.first, { id: 'a', basedOn: 0 });
@@ -112,7 +112,7 @@
     expect(repeat).toEqual({ generation: 1, alreadyApplied: true });
   });
 
-  it('recognises a repeat after the next change has gone over it', async () => {
+  it('recognizes a repeat after a later change', async () => {
     const setup = setUp();
     await apply(setup, setup.first, { id: 'a', basedOn: 0, priority: 1 });
     await apply(setup, setup.second, { id: 'b', basedOn: 1, priority: 2 });
@@ -121,7 +121,7 @@
     expect(generationInStore(setup.engine)).toBe(2);
   });
 
-  it('says that nothing was changed while the store is down', async () => {
+  it('reports that nothing was changed while the store is down', async () => {
     const setup = setUp();
     setup.engine.setDown(true);
     expect(await apply(setup, setup.first, { id: 'a', basedOn: 0 })).toMatchObject({
@@ -130,7 +130,7 @@
     expect(generationInStore(setup.engine)).toBe(0);
   });
 
-  it('refuses a document that is larger than the store holds, and changes nothing', async () => {
+  it('rejects a document above the size limit without a change', async () => {
     const setup = setUp();
     const declaration = ControlFleet.declaration('atec');
     const service = declaration.services['verdict-api'];
@@ -154,7 +154,7 @@
     expect(declaration?.services['verdict-api']?.priority).toBe(1);
   });
 
-  it('goes on above the fleet’s generation when the store came back older', async () => {
+  it('continues from the fleet’s generation after a restore of an older store', async () => {
     const setup = setUp();
     await apply(setup, setup.first, { id: 'a', basedOn: 0 });
     const backup = setup.engine.backUp();
@@ -166,7 +166,7 @@
     expect(generationInStore(setup.engine)).toBe(3);
   });
 
-  it('keeps to its model under any order of changes, lost replies and outages', async () => {
+  it('matches the model for any order of changes, lost replies and outages', async () => {
     const step = fc.record({
       operator: fc.constantFrom('first' as const, 'second' as const),
       id: fc.constantFrom('a', 'b', 'c', 'd'),
--- a/packages/control/tests/configuration/configuration-sync.test.ts
+++ b/packages/control/tests/configuration/configuration-sync.test.ts
@@ -17,7 +17,7 @@
   return [...new Set(fleet.nodes.map((node) => node.replica.generation('atec')))];
 }
 
-/** A fleet that knows generation 2, and a backup of its store that has generation 1. */
+/** Starts a fleet at generation 2, with a backup of its store at generation 1. */
 async function startBackedUp() {
   const fleet = await ControlFleet.start(FLEET);
   await change(fleet, fleet.node(0), 0);
@@ -32,14 +32,14 @@
   return (JSON.parse(text) as { generation?: number }).generation;
 }
 
-/** Advances until every daemon holds the generation; returns the time that took, or undefined. */
+/** Advances until every daemon has the generation; returns the time taken, or undefined. */
 async function timeUntilInForce(
   fleet: ControlFleet,
   generation: number,
-  atMost: number,
+  timeout: number,
 ): Promise<number | undefined> {
   const startedAt = fleet.clock.now();
-  while (fleet.clock.now() - startedAt < atMost) {
+  while (fleet.clock.now() - startedAt < timeout) {
     if (generations(fleet).join() === String(generation)) {
       return fleet.clock.now() - startedAt;
     }
@@ -49,7 +49,7 @@
 }
 
 describe('ConfigurationSync', () => {
-  it('brings a change to every daemon within a second, by two watchers a domain', async () => {
+  it('replicates a change within 1 s with two watchers per domain', async () => {
     const fleet = await ControlFleet.start(FLEET);
     expect(fleet.engine.watcherCount).toBe(6);
     expect(await change(fleet, fleet.node(5), 0)).toBe(true);
@@ -57,7 +57,7 @@
     fleet.stop();
   });
 
-  it('brings it within 3 s when a tenth of all messages is lost or comes twice', async () => {
+  it('replicates a change within 3 s at 10 % lost or duplicated messages', async () => {
     const fleet = await ControlFleet.start(FLEET);
     fleet.network.faults.lossShare = 0.1;
     fleet.network.faults.duplicateShare = 0.1;
@@ -68,7 +68,7 @@
     fleet.stop();
   });
 
-  it('replaces watchers that die, and lets no second one too many stay', async () => {
+  it('replaces failed watchers without a lasting surplus', async () => {
     const fleet = await ControlFleet.start(FLEET);
     fleet.nodes
       .filter((node) => node.sync.watching && node.membership.self.failureDomain === 'domain-1')
@@ -83,7 +83,7 @@
     fleet.stop();
   });
 
-  it('lets a host that starts with the store down learn from its peers', async () => {
+  it('synchronizes a new host from its peers while the store is down', async () => {
     const fleet = await ControlFleet.start(FLEET);
     await change(fleet, fleet.node(0), 0);
     await fleet.clock.advance(2_000);
@@ -100,7 +100,7 @@
     fleet.stop();
   });
 
-  it('does not serve on nothing: with neither store nor peers it is never ready', async () => {
+  it('is not ready without store and peers', async () => {
     const fleet = await ControlFleet.start({ domains: 1, hostsPerDomain: 1 }, 0);
     fleet.engine.setDown(true);
     await fleet.clock.advance(60_000);
@@ -108,7 +108,7 @@
     fleet.stop();
   });
 
-  it('keeps the newer configuration when the store comes back older, and gives it back', async () => {
+  it('keeps the newer configuration and writes it back to a store restored from a backup', async () => {
     const { fleet, backup } = await startBackedUp();
     fleet.engine.restore(backup);
     await fleet.clock.advance(10_000);
@@ -117,7 +117,7 @@
     fleet.stop();
   });
 
-  it('gives back what the store lost, where it came back as the same one and has counted past what was seen', async () => {
+  it('writes lost documents back to a restored store with the same id and a later revision', async () => {
     const { fleet, backup } = await startBackedUp();
     fleet.engine.restore(backup, { keepsId: true });
     for (let count = 0; count < 20; count++) {
@@ -129,7 +129,7 @@
     fleet.stop();
   });
 
-  it('does not steer by an older configuration of a store put back, at a daemon that starts beside others that know the newer', async () => {
+  it('does not use the older configuration of a restored store at a new daemon with newer peers', async () => {
     const { fleet, backup } = await startBackedUp();
     fleet.kill(fleet.node(11));
     fleet.nodes.forEach((node) => {
@@ -137,18 +137,18 @@
     });
     fleet.engine.restore(backup);
     const started = fleet.startHost(11);
-    const steeredBy = new Set<number>();
+    const usedGenerations = new Set<number>();
     for (let elapsed = 0; elapsed < 10_000; elapsed += 20) {
       await fleet.clock.advance(20);
       if (started.sync.ready) {
-        steeredBy.add(started.replica.generation('atec'));
+        usedGenerations.add(started.replica.generation('atec'));
       }
     }
-    expect([...steeredBy]).toEqual([2]);
+    expect([...usedGenerations]).toEqual([2]);
     fleet.stop();
   });
 
-  it('shows its age while the store is down, and serves on', async () => {
+  it('reports the age of the configuration and stays ready while the store is down', async () => {
     const fleet = await ControlFleet.start(FLEET);
     await change(fleet, fleet.node(0), 0);
     await fleet.clock.advance(5_000);
@@ -165,7 +165,7 @@
     fleet.stop();
   });
 
-  it('brings a domain that was cut off from all others up to date when it is back', async () => {
+  it('updates a domain after a partition from all others', async () => {
     const fleet = await ControlFleet.start(FLEET);
     const cutOff = fleet.nodes.filter((node) => node.membership.self.failureDomain === 'domain-3');
     const inside = new Set(cutOff.map((node) => node.address));
--- a/packages/control/tests/seen-revisions.test.ts
+++ b/packages/control/tests/seen-revisions.test.ts
@@ -12,14 +12,14 @@
 
   it.each([
     ['nothing was written since', present(7, { a: 7, b: 5 }), true],
-    ['others wrote since', present(20, { a: 12, b: 5, c: 19 }), true],
-    ['the store is another one', present(20, { a: 7, b: 5 }, 'other'), false],
+    ['other writes followed', present(20, { a: 12, b: 5, c: 19 }), true],
+    ['the store id differs', present(20, { a: 7, b: 5 }, 'other'), false],
     ['its revision is lower', present(6, { a: 2, b: 5 }), false],
-    ['a key is at a revision of before', present(20, { a: 2, b: 5 }), false],
-    ['a key was written at a revision that had been given out', present(20, { a: 7, b: 6 }), false],
-    ['a key that had been written is not there', present(20, { a: 7 }), false],
-    ['a key is there that had not been at that revision', present(20, { a: 7, b: 5, c: 6 }), false],
-  ])('is continued or not where %s', (_case, state, isContinued) => {
+    ['a key has an older revision', present(20, { a: 2, b: 5 }), false],
+    ['a key was written at a reused revision', present(20, { a: 7, b: 6 }), false],
+    ['a key is missing', present(20, { a: 7 }), false],
+    ['an unknown key has a revision already seen', present(20, { a: 7, b: 5, c: 6 }), false],
+  ])('detects if a store continues the history when %s', (_case, state, isContinued) => {
     expect(seen.isContinuedBy(state)).toBe(isContinued);
   });
 });
