--- a/packages/control/src/allotments/allotment-ledger.ts
+++ b/packages/control/src/allotments/allotment-ledger.ts
@@ -1,21 +1,21 @@
 import type { Clock } from '@ferrylock/utils';
 
-/** Added by the lender to each loan's time, for clocks that do not run quite alike. */
-const DRIFT_SHARE = 0.01;
-const DRIFT_MILLISECONDS = 20;
+/** Margin that the lender adds to the duration of a loan to allow for clock drift. */
+const CLOCK_DRIFT_FRACTION = 0.01;
+const CLOCK_DRIFT_MILLISECONDS = 20;
 
-/** Units lent to a peer, out of use here until they come back or the time is over. */
+/** Units lent to a peer, unavailable here until returned or expired. */
 interface LentUnits {
   readonly loanId: string;
   readonly borrower: string;
   readonly limit: string;
   units: number;
   until: number;
-  /** Sequence number of the borrower's latest word on it. */
+  /** Sequence number of the borrower's latest message about the loan. */
   sequence: number;
 }
 
-/** Units borrowed from a peer, of use here until the time is over. */
+/** Units borrowed from a peer, usable here until they expire. */
 export interface BorrowedUnits {
   readonly loanId: string;
   readonly lenderAddress: string;
@@ -24,7 +24,7 @@
   until: number;
 }
 
-/** What this daemon owns of a limit by the positions that it now holds. */
+/** Source of the units of a limit that this daemon owns through its positions. */
 export interface OwnedUnits {
   ownedUnits(limit: string): number;
 }
@@ -35,21 +35,20 @@
   readonly limit: string;
   readonly units: number;
   readonly durationMilliseconds: number;
-  /** Rises with each message about the loan, so that one that comes late or twice changes nothing. */
+  /** Increases with each message about the loan, so that late or duplicate ones are ignored. */
   readonly sequence: number;
 }
 
 /**
- * What one daemon may use of each divided limit: what it owns, less what it has lent, plus what it
- * has borrowed. A lender lowers its own part before the borrower hears of the loan, and the
- * borrower counts the loan's time from before it asked; a lost message or a pause therefore loses
- * room and never makes any.
+ * Accounts for the usable units of each divided limit: owned, minus lent, plus borrowed. A lender
+ * deducts a loan before it responds, and the borrower counts the duration from before its request,
+ * so a lost message or a pause can only reduce the usable total.
  */
 export class AllotmentLedger {
   readonly #lent = new Map<string, LentUnits>();
   readonly #borrowed = new Map<string, BorrowedUnits>();
   readonly #lentByLimit = new Map<string, Set<LentUnits>>();
-  /** Fewest usable units since the limit's user last looked; only of limits with such a user. */
+  /** Minimum of the usable units since the last {@link takeLowest}, by limit. */
   readonly #lowest = new Map<string, number>();
   readonly #borrowedByLimit = new Map<string, Set<BorrowedUnits>>();
 
@@ -61,15 +60,15 @@
   /**
    * Units that may be used now.
    *
-   * @param until - leaves out loans that end before this clock reading
+   * @param until - excludes loans that end before this clock time
    */
   usable(limit: string, until = -Infinity): number {
     return this.lendable(limit) + this.borrowed(limit, until);
   }
 
   /**
-   * The fewest units that were usable at any time since the last call for the limit, so that its
-   * user notices even a short dip.
+   * Returns the minimum of the usable units since the last call for the limit, so that the caller
+   * detects even a short dip.
    */
   takeLowest(limit: string): number {
     const usable = this.usable(limit);
@@ -78,12 +77,12 @@
     return lowest;
   }
 
-  /** Units owned here and not lent out. Only these are lent on; loans do not form chains. */
+  /** Units owned and not lent; borrowed units are not lent, so loans do not form chains. */
   lendable(limit: string): number {
     return Math.max(0, this.owned.ownedUnits(limit) - this.#sumLent(limit));
   }
 
-  /** Units borrowed from peers and not yet over. */
+  /** Unexpired units borrowed from peers. */
   borrowed(limit: string, until = -Infinity): number {
     const now = this.clock.now();
     let sum = 0;
@@ -97,13 +96,13 @@
     return sum;
   }
 
-  /** Whether any loan of this daemon's is still out. */
+  /** True while any loan to a peer is outstanding. */
   get hasLent(): boolean {
     const now = this.clock.now();
     return [...this.#lent.values()].some((loan) => loan.until > now);
   }
 
-  /** Whether no more is lent of any limit than is owned now. */
+  /** Checks that no limit has more units lent than owned. */
   lentFits(): boolean {
     return [...this.#lentByLimit.keys()].every(
       (limit) => this.#sumLent(limit) <= this.owned.ownedUnits(limit),
@@ -115,15 +114,15 @@
   }
 
   /**
-   * Lends units, at most those that may be spared, and says how many. The same loan asked for again
-   * is prolonged, and grows or shrinks to the units asked for now. Where the lender needs some back,
-   * `spare` is negative and the answer is lower than the loan; the units count as lent until the
-   * borrower itself asks for fewer, since it may not have heard the answer.
+   * Lends at most the spare units and returns their number. A repeated request extends the loan and
+   * resizes it to the requested units. If the lender needs units back, `spare` is negative and the
+   * result is lower than the loan; the units count as lent until the borrower requests fewer, since
+   * it may not have received the response.
    */
   lend(request: LoanRequest, spare: number): number {
     const known = this.#lent.get(lentKey(request));
     if (known !== undefined && known.until > this.clock.now()) {
-      return request.sequence > known.sequence ? this.#lendAgain(known, request, spare) : 0;
+      return request.sequence > known.sequence ? this.#updateLoan(known, request, spare) : 0;
     }
     const units = Math.max(
       0,
@@ -142,23 +141,23 @@
     };
     this.#lent.set(lentKey(request), loan);
     setOf(this.#lentByLimit, loan.limit).add(loan);
-    this.#noteDecrease(loan.limit);
+    this.#recordDecrease(loan.limit);
     return units;
   }
 
-  #lendAgain(known: LentUnits, request: LoanRequest, spare: number): number {
+  #updateLoan(known: LentUnits, request: LoanRequest, spare: number): number {
     known.sequence = request.sequence;
-    const room = Math.floor(Math.min(Math.max(0, spare), this.lendable(request.limit)));
-    known.units = Math.min(request.units, known.units + room);
+    const capacity = Math.floor(Math.min(Math.max(0, spare), this.lendable(request.limit)));
+    known.units = Math.min(request.units, known.units + capacity);
     const granted = spare < 0 ? Math.max(0, known.units + Math.floor(spare)) : known.units;
     if (granted > 0) {
       this.prolongLent(request);
     }
-    this.#noteDecrease(request.limit);
+    this.#recordDecrease(request.limit);
     return granted;
   }
 
-  /** Gives a loan more time; says whether it was still out. */
+  /** Extends a loan; returns false if it is unknown or has expired. */
   prolongLent(request: Pick<LoanRequest, 'loanId' | 'borrower' | 'durationMilliseconds'>): boolean {
     const known = this.#lent.get(lentKey(request));
     if (known === undefined || known.until <= this.clock.now()) {
@@ -168,16 +167,16 @@
     return true;
   }
 
-  /** Takes back a loan that the borrower no longer uses. */
+  /** Ends a loan that the borrower returned. */
   takeBack(loan: Pick<LoanRequest, 'loanId' | 'borrower'>): LentUnits | undefined {
     const lent = this.#lent.get(lentKey(loan));
     if (lent !== undefined) {
-      this.#forgetLent(lent);
+      this.#removeLent(lent);
     }
     return lent;
   }
 
-  /** Records a loan from a peer, or what it has grown to. */
+  /** Records a loan from a peer, or its growth. */
   growBorrowed(loan: BorrowedUnits): void {
     const known = this.#borrowed.get(loan.loanId);
     if (known === undefined || known.until <= this.clock.now()) {
@@ -189,7 +188,6 @@
     known.until = Math.max(known.until, loan.until);
   }
 
-  /** Records a loan from a peer. */
   recordBorrowed(loan: BorrowedUnits): void {
     if (this.#borrowed.has(loan.loanId)) {
       return;
@@ -198,16 +196,16 @@
     setOf(this.#borrowedByLimit, loan.limit).add(loan);
   }
 
-  /** Gives up part of a loan; the lender is told only after this. */
+  /** Reduces a borrowed loan; must precede the message to the lender. */
   shrinkBorrowed(loanId: string, units: number): void {
     const loan = this.#borrowed.get(loanId);
     if (loan !== undefined && units < loan.units) {
       loan.units = units;
-      this.#noteDecrease(loan.limit);
+      this.#recordDecrease(loan.limit);
     }
   }
 
-  /** Counts a loan's time anew after its lender has prolonged it; one that was over stays so. */
+  /** Extends a borrowed loan after its lender did; an expired one stays expired. */
   prolongBorrowed(loanId: string, until: number): void {
     const loan = this.#borrowed.get(loanId);
     if (loan !== undefined && loan.until > this.clock.now()) {
@@ -215,17 +213,17 @@
     }
   }
 
-  /** Stops using a loan; the lender is told only after this. */
+  /** Removes a borrowed loan; must precede the message to the lender. */
   forgetBorrowed(loanId: string): void {
     const loan = this.#borrowed.get(loanId);
     if (loan !== undefined) {
       this.#borrowed.delete(loanId);
       this.#borrowedByLimit.get(loan.limit)?.delete(loan);
-      this.#noteDecrease(loan.limit);
+      this.#recordDecrease(loan.limit);
     }
   }
 
-  #noteDecrease(limit: string): void {
+  #recordDecrease(limit: string): void {
     const lowest = this.#lowest.get(limit);
     if (lowest !== undefined) {
       this.#lowest.set(limit, Math.min(lowest, this.usable(limit)));
@@ -239,25 +237,25 @@
       if (loan.until > now) {
         sum += loan.units;
       } else {
-        this.#forgetLent(loan);
+        this.#removeLent(loan);
       }
     }
     return sum;
   }
 
-  /** The lender waits a little longer than the borrower may use the loan. */
+  /** Expiry of a loan at the lender, later than at the borrower by the drift margin. */
   #lenderUntil(durationMilliseconds: number): number {
-    const margin = DRIFT_MILLISECONDS + durationMilliseconds * DRIFT_SHARE;
+    const margin = CLOCK_DRIFT_MILLISECONDS + durationMilliseconds * CLOCK_DRIFT_FRACTION;
     return this.clock.now() + durationMilliseconds + margin;
   }
 
-  #forgetLent(loan: LentUnits): void {
+  #removeLent(loan: LentUnits): void {
     this.#lent.delete(lentKey(loan));
     this.#lentByLimit.get(loan.limit)?.delete(loan);
   }
 }
 
-/** Loan ids are drawn by borrowers, so that only both together name a loan. */
+/** Key of a loan; loan ids are unique only per borrower. */
 function lentKey(loan: Pick<LoanRequest, 'loanId' | 'borrower'>): string {
   return `${loan.borrower} ${loan.loanId}`;
 }
--- a/packages/control/src/allotments/demand-meter.ts
+++ b/packages/control/src/allotments/demand-meter.ts
@@ -1,39 +1,38 @@
 import type { Clock } from '@ferrylock/utils';
 
-/** Time constant of the estimate: long enough to see past gaps, short enough to follow a rush. */
+/** Time constant of the moving average. */
 const WINDOW_MILLISECONDS = 4_000;
-/** With no demand for this long, a limit counts as not in use. */
+/** Time without demand after which a limit is idle. */
 const IDLE_MILLISECONDS = 5_000;
 
-/** Estimates how much of a limit is asked for, per second, whether it could be granted or not. */
+/** Estimates the demand for a limit per second, granted or not, as a moving average. */
 export class DemandMeter {
   #rate = 0;
   #pending = 0;
-  #foldedAt: number;
-  #askedAt = -Infinity;
+  #updatedAt: number;
+  #lastDemandAt = -Infinity;
 
   constructor(readonly clock: Clock) {
-    this.#foldedAt = clock.now();
+    this.#updatedAt = clock.now();
   }
 
   add(amount: number): void {
     this.#pending += amount;
-    this.#askedAt = this.clock.now();
+    this.#lastDemandAt = this.clock.now();
   }
 
-  /** Amount asked for per second, lately. */
   get perSecond(): number {
-    this.#fold();
+    this.#update();
     return this.#rate;
   }
 
   get isIdle(): boolean {
-    return this.clock.now() - this.#askedAt >= IDLE_MILLISECONDS;
+    return this.clock.now() - this.#lastDemandAt >= IDLE_MILLISECONDS;
   }
 
-  #fold(): void {
+  #update(): void {
     const now = this.clock.now();
-    const elapsed = now - this.#foldedAt;
+    const elapsed = now - this.#updatedAt;
     if (elapsed <= 0) {
       return;
     }
@@ -41,6 +40,6 @@
     const weight = 1 - Math.exp(-elapsed / WINDOW_MILLISECONDS);
     this.#rate += weight * (sample - this.#rate);
     this.#pending = 0;
-    this.#foldedAt = now;
+    this.#updatedAt = now;
   }
 }
--- a/packages/control/src/allotments/limit-register.ts
+++ b/packages/control/src/allotments/limit-register.ts
@@ -2,15 +2,15 @@
 import { divideLimit } from './position-layout.js';
 
 interface Division {
-  readonly parts: ReadonlyMap<number, number>;
-  /** The list of positions that the sum was made for; the same list is asked for many times. */
+  readonly shares: ReadonlyMap<number, number>;
+  /** Position list that the cached sum applies to, compared by identity. */
   summedFor: readonly number[] | undefined;
   sum: number;
 }
 
 /**
- * Every divided limit of the configuration in force. A limit's division is worked out when it is
- * first asked for, since most daemons use few of them.
+ * Divided limits of the active configuration. Divisions are computed lazily, since most daemons use
+ * few of the limits.
  */
 export class LimitRegister {
   readonly #limits = new Map<string, DividedLimit>();
@@ -26,7 +26,7 @@
     this.#divisions.clear();
   }
 
-  /** Puts an account's limits in place of those it had before. */
+  /** Replaces the limits of an account. */
   replace(account: string, limits: readonly DividedLimit[]): void {
     for (const key of [...this.#limits.keys()]) {
       if (accountOf(key) === account) {
@@ -43,9 +43,9 @@
     return this.#limits.get(key);
   }
 
-  /** Positions that have a part of the limit. */
+  /** Number of positions with a share of the limit. */
   sharers(key: string): number {
-    return this.#divisionOf(key).parts.size;
+    return this.#divisionOf(key).shares.size;
   }
 
   /** Units of a limit that belong to the given positions. */
@@ -53,26 +53,26 @@
     const division = this.#divisionOf(key);
     if (division.summedFor !== positions) {
       division.summedFor = positions;
-      division.sum = positions.reduce((sum, index) => sum + (division.parts.get(index) ?? 0), 0);
+      division.sum = positions.reduce((sum, index) => sum + (division.shares.get(index) ?? 0), 0);
     }
     return division.sum;
   }
 
   #divisionOf(key: string): Division {
-    const known = this.#divisions.get(key);
-    if (known !== undefined) {
-      return known;
+    const cached = this.#divisions.get(key);
+    if (cached !== undefined) {
+      return cached;
     }
     const limit = this.#limits.get(key);
-    const parts =
+    const shares =
       limit === undefined ? new Map<number, number>() : divideLimit(limit, this.#positions);
-    const division = { parts, summedFor: undefined, sum: 0 };
+    const division = { shares, summedFor: undefined, sum: 0 };
     this.#divisions.set(key, division);
     return division;
   }
 }
 
-/** Keys of limits read kind/account/…; the account never holds a slash. */
+/** Extracts the account from a limit key (kind/account/…); it contains no slash. */
 function accountOf(key: string): string {
   return key.split('/', 2)[1] ?? '';
 }
--- a/packages/control/src/allotments/position-fence.ts
+++ b/packages/control/src/allotments/position-fence.ts
@@ -1,23 +1,22 @@
 import type { Clock } from '@ferrylock/utils';
 
-/** How long a confirmation lets a holder go on. */
+/** Validity of a confirmation. */
 export const HOLD_MILLISECONDS = 60_000;
-/** How long a claimant waits after the last promise; longer than any holder goes on. */
+/** Wait of a claimant after the last promise; must exceed the validity of confirmations. */
 export const RECLAIM_MILLISECONDS = 90_000;
 
-interface Witness {
+interface Confirmation {
   readonly positions: readonly number[];
   readonly at: number;
 }
 
 /**
- * Says whether this daemon may still use its positions. The store confirms it, or, while the store
- * is down, peers do that together hold more than half of all positions and have not promised anyone
- * to stop. A claimant needs such promises from more than half as well, so that at least one position
- * would have to say both. The store alone decides who holds what; peers only bear witness.
+ * Decides if this daemon may still use its positions. Either the store confirms it, or, while the
+ * store is down, peers that hold a majority of the positions and have not promised to stop. A
+ * claimant needs promises from a majority as well, so the two exclude each other.
  */
 export class PositionFence {
-  readonly #witnesses = new Map<string, Witness>();
+  readonly #confirmations = new Map<string, Confirmation>();
   #confirmedByStoreAt = -Infinity;
 
   constructor(
@@ -25,44 +24,44 @@
     readonly positionCount: () => number,
   ) {}
 
-  /** @param askedAt - clock reading from before the question left */
-  confirmedByStore(askedAt: number): void {
-    this.#confirmedByStoreAt = Math.max(this.#confirmedByStoreAt, askedAt);
+  /** @param requestedAt - clock time before the request was sent */
+  confirmedByStore(requestedAt: number): void {
+    this.#confirmedByStoreAt = Math.max(this.#confirmedByStoreAt, requestedAt);
   }
 
-  confirmedByPeer(peer: string, positions: readonly number[], askedAt: number): void {
-    const known = this.#witnesses.get(peer);
-    if (known === undefined || askedAt > known.at) {
-      this.#witnesses.set(peer, { positions, at: askedAt });
+  confirmedByPeer(peer: string, positions: readonly number[], requestedAt: number): void {
+    const known = this.#confirmations.get(peer);
+    if (known === undefined || requestedAt > known.at) {
+      this.#confirmations.set(peer, { positions, at: requestedAt });
     }
   }
 
-  /** A peer that has promised a claimant to stop vouching no longer counts. */
+  /** Removes the confirmation of a peer that promised a claimant to stop confirming. */
   withdraw(peer: string): void {
-    this.#witnesses.delete(peer);
+    this.#confirmations.delete(peer);
   }
 
-  /** Whether positions may be used now. Asked at each use, never remembered. */
+  /** Checks if positions may be used now; the result must not be cached. */
   isValid(ownPositions: readonly number[]): boolean {
     const now = this.clock.now();
     if (now - this.#confirmedByStoreAt < HOLD_MILLISECONDS) {
       return true;
     }
-    const vouched = new Set(ownPositions);
-    for (const witness of this.#witnesses.values()) {
-      if (now - witness.at < HOLD_MILLISECONDS) {
-        witness.positions.forEach((position) => vouched.add(position));
+    const confirmed = new Set(ownPositions);
+    for (const confirmation of this.#confirmations.values()) {
+      if (now - confirmation.at < HOLD_MILLISECONDS) {
+        confirmation.positions.forEach((position) => confirmed.add(position));
       }
     }
-    return vouched.size * 2 > this.positionCount();
+    return confirmed.size * 2 > this.positionCount();
   }
 
-  /** Drops witnesses that no longer count, so that their number stays bounded. */
+  /** Removes expired confirmations. */
   prune(): void {
     const now = this.clock.now();
-    for (const [peer, witness] of this.#witnesses) {
-      if (now - witness.at >= HOLD_MILLISECONDS) {
-        this.#witnesses.delete(peer);
+    for (const [peer, confirmation] of this.#confirmations) {
+      if (now - confirmation.at >= HOLD_MILLISECONDS) {
+        this.#confirmations.delete(peer);
       }
     }
   }
--- a/packages/control/src/allotments/position-holder.ts
+++ b/packages/control/src/allotments/position-holder.ts
@@ -20,16 +20,16 @@
 import type { PositionReading } from './position-store.js';
 import { PositionStore } from './position-store.js';
 
-/** Pause between two looks at the records while this daemon holds too few, and at rest. */
-const CLAIM_PAUSE_MILLISECONDS = 500;
-const REST_PAUSE_MILLISECONDS = 20_000;
-/** Pause while a position may come free before long. */
-const WAITING_PAUSE_MILLISECONDS = 2_000;
-/** Pause between two looks at whether a position that is given up is still in use. */
-const GIVE_UP_CHECK_MILLISECONDS = 100;
+/** Interval of reads of the records while this daemon holds too few, and when idle. */
+const CLAIM_INTERVAL_MILLISECONDS = 500;
+const IDLE_INTERVAL_MILLISECONDS = 20_000;
+/** Interval while a position may soon become vacant. */
+const PENDING_INTERVAL_MILLISECONDS = 2_000;
+/** Interval of checks if a position to be released is still in use. */
+const RELEASE_CHECK_MILLISECONDS = 100;
 
 interface HeldPosition {
-  /** Clock reading from which the position may be used: loans of the holder before have ended. */
+  /** Clock time from which the position may be used, after loans of the previous holder ended. */
   readonly usableFrom: number;
 }
 
@@ -42,15 +42,15 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The longest that a loan, or work begun under a position, can last, in milliseconds. */
+  /** Maximum duration of a loan, or of work started under a position. */
   readonly longestUseMilliseconds: () => number;
-  /** Whether what is in use and lent out now fits into what is owned and borrowed now. */
+  /** Checks if usage and loans fit into the owned and borrowed units. */
   readonly usageFits: () => boolean;
 }
 
 /**
- * Holds this daemon's positions: its own parts of every limit. The store says who holds which; a
- * position changes hands only when its holder has stopped using it, or surely can no longer use it.
+ * Manages the positions of this daemon, which are its own shares of every limit. The store records
+ * the holders; a position changes its holder only when the previous one can no longer use it.
  */
 export class PositionHolder implements OwnedUnits, HeartbeatParticipant {
   readonly fence: PositionFence;
@@ -59,9 +59,9 @@
   readonly #reclaimer: PositionReclaimer;
   readonly #tasks: BackgroundTasks;
   readonly #held = new Map<number, HeldPosition>();
-  /** Positions that are being given up: no longer used, not yet vacant in the store. */
-  readonly #givingUp = new Set<number>();
-  /** Positions held and in use, made anew only when they change: they are asked for at each request. */
+  /** Positions that are being released: no longer used, but not yet vacant in the store. */
+  readonly #releasing = new Set<number>();
+  /** Positions held and in use, cached because each request reads them. */
   #positions: readonly number[] = [];
   #allUsableFrom = 0;
   #stopping = false;
@@ -74,7 +74,7 @@
     this.#reclaimer = new PositionReclaimer({
       ...options,
       records: this.#records,
-      vouchingPositions: () => this.#vouchingPositions(),
+      confirmingPositions: () => this.#confirmingPositions(),
     });
   }
 
@@ -83,7 +83,7 @@
     return this.#positions;
   }
 
-  /** Units of a limit that are this daemon's own at this very moment. */
+  /** Units of a limit that this daemon currently owns. */
   ownedUnits(limit: string): number {
     if (!this.fence.isValid(this.#positions)) {
       return 0;
@@ -94,7 +94,7 @@
   register(router: PeerRouter): void {
     router.handle('allotments.notice', ({ position, holder }) => {
       this.#reclaimer.promise(position, holder);
-      return { positions: this.#vouchingPositions() };
+      return { positions: this.#confirmingPositions() };
     });
   }
 
@@ -102,12 +102,12 @@
     this.#tasks.start('positions', (signal) => this.#run(signal));
   }
 
-  /** Ends at once and gives nothing back, as a crash would. */
+  /** Stops without releasing positions, like a crash. */
   async stop(): Promise<void> {
     await this.#tasks.stop();
   }
 
-  /** Gives every position back; loans and work begun under them must have ended before. */
+  /** Releases all positions; loans and work started under them must have ended before. */
   async giveAllBack(): Promise<void> {
     this.#stopping = true;
     await this.#tasks.stop();
@@ -118,21 +118,21 @@
     const { positions, storeId } = reading;
     const own = positions.filter(({ record }) => this.#isOwn(record));
     this.#held.clear();
-    this.#heldChanged();
+    this.#updatePositions();
     await Promise.all(own.map((position) => this.#records.write(position, vacantRecord(storeId))));
   }
 
   describe(): Partial<ExtraHeartbeatFields> {
     return {
-      positions: this.#vouchingPositions(),
+      positions: this.#confirmingPositions(),
       reclaimNotices: this.#reclaimer.promisedPositions,
     };
   }
 
   received({ from, fields, notBefore }: ReceivedHeartbeat): void {
     const peer = memberKey(from);
-    const doubted = fields.reclaimNotices.some((position) => this.#held.has(position));
-    if (doubted) {
+    const isDisputed = fields.reclaimNotices.some((position) => this.#held.has(position));
+    if (isDisputed) {
       this.fence.withdraw(peer);
     } else if (notBefore > -Infinity && this.#records.isInGroup(from)) {
       this.fence.confirmedByPeer(peer, fields.positions, notBefore);
@@ -145,21 +145,21 @@
       const members = this.#servingCount();
       const pause = await this.#round();
       this.fence.prune();
-      const restUntil = clock.now() + jittered(random, pause);
+      const idleUntil = clock.now() + jittered(random, pause);
       do {
-        await clock.sleep(jittered(random, CLAIM_PAUSE_MILLISECONDS), signal);
+        await clock.sleep(jittered(random, CLAIM_INTERVAL_MILLISECONDS), signal);
         if (signal.aborted) {
           return;
         }
-      } while (clock.now() < restUntil && this.#servingCount() === members);
+      } while (clock.now() < idleUntil && this.#servingCount() === members);
     }
   }
 
-  /** One look at the records; tells how long it may be until the next. */
+  /** Reads and processes the records; returns the maximum delay until the next round. */
   async #round(): Promise<number> {
     const reading = await this.#records.read();
     if (reading === undefined) {
-      return this.positions.length > 0 ? REST_PAUSE_MILLISECONDS : CLAIM_PAUSE_MILLISECONDS;
+      return this.positions.length > 0 ? IDLE_INTERVAL_MILLISECONDS : CLAIM_INTERVAL_MILLISECONDS;
     }
     await this.#confirmOwn(reading);
     await this.#reclaimer.round(reading);
@@ -167,10 +167,10 @@
   }
 
   /**
-   * Drops what the store gives to someone else, answers a notice on what is held, and writes what is
-   * held into a store that has lost it.
+   * Drops positions that the store assigns to other daemons, clears notices on held positions, and
+   * rewrites records that a restored store has lost.
    */
-  async #confirmOwn({ positions, askedAt, storeId }: PositionReading): Promise<void> {
+  async #confirmOwn({ positions, requestedAt, storeId }: PositionReading): Promise<void> {
     let allConfirmed = true;
     for (const position of positions) {
       const { index } = position.position;
@@ -179,40 +179,44 @@
       }
       if (!this.#isOwn(position.record) && !position.isDoubtful) {
         this.#held.delete(index);
-        this.#heldChanged();
+        this.#updatePositions();
         this.#options.logger.warn('position lost', { position: index });
       } else if (position.record.noticeBy !== null || position.isDoubtful) {
-        const answered = await this.#records.write(position, this.#ownRecord(storeId));
-        allConfirmed &&= answered;
+        const isWritten = await this.#records.write(position, this.#ownRecord(storeId));
+        allConfirmed &&= isWritten;
       }
     }
     if (allConfirmed) {
-      this.fence.confirmedByStore(askedAt);
+      this.fence.confirmedByStore(requestedAt);
     }
   }
 
-  /** Takes vacant positions up to a fair share, and gives up what exceeds it. */
+  /** Claims vacant positions up to a fair share and releases the excess. */
   async #balance({ positions: stored, storeId }: PositionReading): Promise<number> {
     const servingHolders = this.#servingCount();
-    const fairMost = Math.ceil(stored.length / servingHolders);
-    const fairLeast = Math.max(1, Math.floor(stored.length / servingHolders));
-    const claimable = this.#byNearness(stored.filter((position) => this.#isClaimable(position)));
-    // One at a time: those who start together get to know one another before any takes much.
+    const maxFairShare = Math.ceil(stored.length / servingHolders);
+    const minFairShare = Math.max(1, Math.floor(stored.length / servingHolders));
+    const claimable = this.#sortByDistance(
+      stored.filter((position) => this.#isClaimable(position)),
+    );
+    // Claims one per round, so that daemons that start together discover each other first.
     const [next] = claimable;
-    if (next !== undefined && this.positions.length < fairMost) {
+    if (next !== undefined && this.positions.length < maxFairShare) {
       await this.#claim(next, storeId);
     }
-    const excess = this.positions.length - fairMost;
+    const excess = this.positions.length - maxFairShare;
     for (const index of this.positions.slice(0, Math.max(0, excess))) {
-      this.#tasks.start('give up position', () => this.#giveUp(index));
+      this.#tasks.start('give up position', () => this.#release(index));
     }
-    if (this.positions.length < fairLeast || claimable.length > 0 || excess > 0) {
-      return CLAIM_PAUSE_MILLISECONDS;
+    if (this.positions.length < minFairShare || claimable.length > 0 || excess > 0) {
+      return CLAIM_INTERVAL_MILLISECONDS;
     }
-    return this.#hasAbsentHolder(stored) ? WAITING_PAUSE_MILLISECONDS : REST_PAUSE_MILLISECONDS;
+    return this.#hasAbsentHolder(stored)
+      ? PENDING_INTERVAL_MILLISECONDS
+      : IDLE_INTERVAL_MILLISECONDS;
   }
 
-  /** Whether a position will come free before long: its holder leaves, or seems dead. */
+  /** Checks if the holder of any position is leaving or seems dead. */
   #hasAbsentHolder(stored: readonly StoredPosition[]): boolean {
     const serving = new Set(
       this.#options.membership.knownMembers().filter(isServing).map(memberKey),
@@ -230,41 +234,41 @@
       return;
     }
     const { index } = position.position;
-    // What the holder before had lent out may still be in use by its borrowers.
+    // Borrowers may still use loans of the previous holder.
     const wait = wasVacant ? 0 : longestUseMilliseconds();
     this.#held.set(index, { usableFrom: clock.now() + wait });
-    this.#heldChanged();
+    this.#updatePositions();
     logger.info('position taken', { position: index, wasVacant });
   }
 
   /**
-   * Stops using a position, waits until nothing begun under it can go on, then vacates it. It is no
-   * longer held before the write: should the reply be lost, it is taken anew like any other.
+   * Stops using a position, waits until all use of it has ended, then vacates it. It is no longer
+   * held before the write: if the reply is lost, it is claimed again like any other.
    */
-  async #giveUp(index: number): Promise<void> {
+  async #release(index: number): Promise<void> {
     const { clock, usageFits } = this.#options;
-    this.#givingUp.add(index);
-    this.#heldChanged();
+    this.#releasing.add(index);
+    this.#updatePositions();
     while (!usageFits() && !this.#tasks.stopped) {
-      await clock.sleep(GIVE_UP_CHECK_MILLISECONDS, this.#tasks.signal);
+      await clock.sleep(RELEASE_CHECK_MILLISECONDS, this.#tasks.signal);
     }
     const reading = await this.#records.read();
     const stored = reading?.positions.find(({ position }) => position.index === index);
     if (!this.#tasks.stopped && stored !== undefined && this.#isOwn(stored.record)) {
       this.#held.delete(index);
-      this.#heldChanged();
+      this.#updatePositions();
       await this.#records.write(stored, vacantRecord(reading?.storeId ?? ''));
     }
-    this.#givingUp.delete(index);
-    this.#heldChanged();
+    this.#releasing.delete(index);
+    this.#updatePositions();
   }
 
-  /** Only a daemon whose own positions are valid may bear witness, or promise not to. */
-  #vouchingPositions(): number[] {
+  /** Own positions if valid; only these may confirm others or back a promise. */
+  #confirmingPositions(): number[] {
     return !this.#stopping && this.fence.isValid(this.#positions) ? [...this.#positions] : [];
   }
 
-  /** Positions whose loans by an earlier holder are over. */
+  /** Positions without outstanding loans of a previous holder. */
   #usablePositions(): readonly number[] {
     const now = this.#options.clock.now();
     if (now >= this.#allUsableFrom) {
@@ -273,22 +277,22 @@
     return this.#positions.filter((index) => (this.#held.get(index)?.usableFrom ?? 0) <= now);
   }
 
-  /** Works out anew what follows from the positions held; called after each change of them. */
-  #heldChanged(): void {
-    this.#positions = [...this.#held.keys()].filter((index) => !this.#givingUp.has(index));
+  /** Recomputes the state derived from the held positions, after each change of them. */
+  #updatePositions(): void {
+    this.#positions = [...this.#held.keys()].filter((index) => !this.#releasing.has(index));
     this.#allUsableFrom = Math.max(0, ...[...this.#held.values()].map((held) => held.usableFrom));
   }
 
-  /** Vacant, left by an earlier self, or its own by a write whose reply was lost. */
+  /** Checks if a position is vacant, of an earlier incarnation, or own after a lost reply. */
   #isClaimable({ position, record, isDoubtful }: StoredPosition): boolean {
     if (this.#held.has(position.index) || isDoubtful) {
       return false;
     }
-    return record.holder === null || this.#isEarlierSelf(record) || this.#isOwn(record);
+    return record.holder === null || this.#isEarlierIncarnation(record) || this.#isOwn(record);
   }
 
-  /** The process before this one on the same host and address: it is gone, or this would not run. */
-  #isEarlierSelf({ holder }: PositionRecord): boolean {
+  /** Checks for an earlier process on the same host and address, which must have ended. */
+  #isEarlierIncarnation({ holder }: PositionRecord): boolean {
     const { id, incarnation, controlAddress } = this.#options.membership.self;
     return (
       holder?.id === id &&
@@ -306,11 +310,11 @@
     return holderKey(record) === memberKey(this.#options.membership.self);
   }
 
-  #byNearness(positions: readonly StoredPosition[]): StoredPosition[] {
+  #sortByDistance(positions: readonly StoredPosition[]): StoredPosition[] {
     const { membership, random } = this.#options;
     const { failureDomain, region } = membership.self;
     const distance = ({ position, record }: StoredPosition): number => {
-      if (this.#isEarlierSelf(record)) {
+      if (this.#isEarlierIncarnation(record)) {
         return 0;
       }
       if (position.failureDomain === failureDomain) {
--- a/packages/control/src/allotments/position-layout.ts
+++ b/packages/control/src/allotments/position-layout.ts
@@ -1,7 +1,7 @@
 import { stableHash } from '@ferrylock/utils';
 import { z } from 'zod';
 
-/** The positions of one failure domain. */
+/** Positions of one failure domain. */
 export const domainPositionsSchema = z.object({
   failureDomain: z.string(),
   region: z.string(),
@@ -9,20 +9,20 @@
 });
 
 /**
- * The positions between which every limit of a deployment is divided, usually one for each entry
- * host. All daemons work with the same layout; it stands in the store and is not changed in place.
+ * Positions among which the limits of a deployment are divided, usually one per entry host. All
+ * daemons use the same layout; it is kept in the store and immutable.
  */
 export const positionLayoutSchema = z.object({
   /**
-   * Which positions are looked after together. A group needs at least three hosts, so that the loss
-   * of one leaves a majority; it should stay below a hundred, since its daemons read all its records.
+   * Grouping of positions. A group needs at least three hosts, so that the loss of one leaves a
+   * majority, and should stay below a hundred, since its daemons read all its records.
    */
   groupBy: z.enum(['all', 'region', 'failureDomain']),
   domains: z.array(domainPositionsSchema).min(1),
 });
 export type PositionLayout = z.infer<typeof positionLayoutSchema>;
 
-/** One position: a part of every limit that it is eligible for. */
+/** Entitlement to one share of every limit that it is eligible for. */
 export interface Position {
   readonly index: number;
   readonly group: string;
@@ -30,7 +30,7 @@
   readonly region: string;
 }
 
-/** All positions in the order of their numbers. */
+/** Lists all positions, ordered by index. */
 export function listPositions(layout: PositionLayout): Position[] {
   const positions: Position[] = [];
   for (const domain of layout.domains) {
@@ -43,7 +43,7 @@
   return positions;
 }
 
-/** The group that a place belongs to. */
+/** Returns the group of a location. */
 export function groupOf(
   layout: PositionLayout,
   place: { readonly failureDomain: string; readonly region: string },
@@ -51,29 +51,29 @@
   return layout.groupBy === 'all' ? 'all' : place[layout.groupBy];
 }
 
-/** A limit that is divided between positions, in whole units. */
+/** Limit that is divided among positions in whole units. */
 export interface DividedLimit {
   readonly key: string;
   readonly units: number;
-  /** The place whose positions divide the limit between them; all do where it is not set. */
+  /** Failure domain or region whose positions share the limit; all positions if unset. */
   readonly place?: string | undefined;
-  /** Units that stay together at one position. */
+  /** Granularity of the division in units. */
   readonly grain?: number;
 }
 
 /**
- * The part of a limit that belongs to each position, by position number. It depends on nothing but
- * the limit and the layout, so that all daemons come to the same division, and the parts add up to
- * the whole. What does not divide evenly goes to positions in an order that differs by limit.
+ * Divides a limit into shares by position index. The result depends only on the limit and the
+ * layout, so all daemons compute the same division, and the shares add up to the limit. Remainders
+ * go to positions in an order that differs by limit.
  */
 export function divideLimit(
   limit: DividedLimit,
   positions: readonly Position[],
 ): ReadonlyMap<number, number> {
-  const parts = new Map<number, number>();
+  const shares = new Map<number, number>();
   const eligible = eligiblePositions(limit, positions);
   if (eligible.length === 0) {
-    return parts;
+    return shares;
   }
   const grain = limit.grain ?? 1;
   const grains = Math.floor(limit.units / grain);
@@ -85,13 +85,13 @@
     const whole = Math.floor(grains / ranked.length) + (rank < grains % ranked.length ? 1 : 0);
     const rest = rank === grains % ranked.length ? remainder : 0;
     if (whole > 0 || rest > 0) {
-      parts.set(position.index, whole * grain + rest);
+      shares.set(position.index, whole * grain + rest);
     }
   });
-  return parts;
+  return shares;
 }
 
-/** Where no position lies in the limit's place, all share it. */
+/** Selects the positions in the limit's location, or all positions if there are none. */
 function eligiblePositions(limit: DividedLimit, positions: readonly Position[]): Position[] {
   const { place } = limit;
   const local = positions.filter(
--- a/packages/control/src/allotments/position-reclaimer.ts
+++ b/packages/control/src/allotments/position-reclaimer.ts
@@ -7,17 +7,17 @@
 import { holderKey, vacantRecord } from './position-record.js';
 import type { PositionReading, PositionStore } from './position-store.js';
 
-/** How long a holder must be missing before it is taken for dead. */
+/** Time of absence after which a holder is considered dead. */
 const MISSING_MILLISECONDS = 15_000;
 
-interface GivenPromise {
+interface ReclaimPromise {
   readonly holder: string;
   readonly madeAt: number;
 }
 
 interface Reclaim {
   readonly holder: string;
-  /** Positions whose holders have promised not to vouch for the holder any more. */
+  /** Positions whose holders promised to no longer confirm the reclaimed one's holder. */
   readonly promised: Set<number>;
   lastPromiseAt: number;
 }
@@ -27,42 +27,42 @@
   readonly membership: Membership;
   readonly peers: PeerClient;
   readonly clock: Clock;
-  /** The longest that a loan, or work begun under a position, can last, in milliseconds. */
+  /** Maximum duration of a loan, or of work started under a position. */
   readonly longestUseMilliseconds: () => number;
-  /** Positions of this daemon that it may vouch with now. */
-  readonly vouchingPositions: () => readonly number[];
+  /** Positions with which this daemon may confirm other holders now. */
+  readonly confirmingPositions: () => readonly number[];
 }
 
 /**
- * Takes positions from holders that seem dead. It leaves a notice in the record, which the holder
- * answers if it can reach the store; collects promises from the holders of more than half of the
- * positions not to vouch for it; and waits until the holder, however paused or cut off, has surely
- * stopped using the position (see {@link PositionFence}). Only then is the position vacant.
+ * Reclaims positions from holders that seem dead. It sets a notice in the record, which the holder
+ * clears if it can reach the store; collects promises from the holders of a majority of positions
+ * not to confirm it; and waits until even a paused or partitioned holder must have stopped using
+ * the position (see {@link PositionFence}) before it marks the position as vacant.
  */
 export class PositionReclaimer {
   readonly #options: PositionReclaimerOptions;
-  readonly #promises = new Map<number, GivenPromise>();
+  readonly #promises = new Map<number, ReclaimPromise>();
   readonly #reclaims = new Map<number, Reclaim>();
-  /** When holders were first found missing, by position. */
+  /** Time at which a holder was first missing, by position. */
   readonly #missingSince = new Map<number, number>();
 
   constructor(options: PositionReclaimerOptions) {
     this.#options = options;
   }
 
-  /** Positions whose holders this daemon has promised not to vouch for. */
+  /** Positions whose holders this daemon promised not to confirm. */
   get promisedPositions(): number[] {
     return [...this.#promises.keys()];
   }
 
-  /** Promises not to vouch for the holder of a position. */
+  /** Promises not to confirm the holder of a position. */
   promise(position: number, holder: string): void {
     this.#promises.set(position, { holder, madeAt: this.#options.clock.now() });
   }
 
-  /** Goes on with what the records call for. */
-  async round({ positions, askedAt, storeId }: PositionReading): Promise<void> {
-    this.#reviewPromises(positions, askedAt);
+  /** Starts, continues or cancels reclaims according to the records. */
+  async round({ positions, requestedAt, storeId }: PositionReading): Promise<void> {
+    this.#reviewPromises(positions, requestedAt);
     const { membership } = this.#options;
     const alive = new Set(membership.knownMembers().map(memberKey));
     for (const position of positions) {
@@ -79,15 +79,15 @@
   }
 
   /**
-   * A promise ends when a record read since shows its holder alive again, or replaced; a notice
-   * found in the store is kept as a promise, whoever asks for it.
+   * Ends a promise when a record read later has no notice any more; a notice in the store counts as
+   * a promise, whichever daemon set it.
    */
-  #reviewPromises(stored: readonly StoredPosition[], askedAt: number): void {
+  #reviewPromises(stored: readonly StoredPosition[], requestedAt: number): void {
     for (const { position, record } of stored) {
       const promise = this.#promises.get(position.index);
       if (record.noticeBy !== null) {
         this.promise(position.index, holderKey(record) ?? '');
-      } else if (promise !== undefined && promise.madeAt < askedAt) {
+      } else if (promise !== undefined && promise.madeAt < requestedAt) {
         this.#promises.delete(position.index);
       }
     }
@@ -95,9 +95,9 @@
 
   #isLongMissing(index: number): boolean {
     const now = this.#options.clock.now();
-    const since = this.#missingSince.get(index) ?? now;
-    this.#missingSince.set(index, since);
-    return now - since >= MISSING_MILLISECONDS;
+    const missingSince = this.#missingSince.get(index) ?? now;
+    this.#missingSince.set(index, missingSince);
+    return now - missingSince >= MISSING_MILLISECONDS;
   }
 
   async #reclaim(
@@ -127,18 +127,18 @@
       await this.#collectPromises(index, reclaim);
       return;
     }
-    const waited = clock.now() - reclaim.lastPromiseAt;
-    if (waited >= RECLAIM_MILLISECONDS + longestUseMilliseconds()) {
+    const elapsed = clock.now() - reclaim.lastPromiseAt;
+    if (elapsed >= RECLAIM_MILLISECONDS + longestUseMilliseconds()) {
       this.#reclaims.delete(index);
       await records.write(position, vacantRecord(storeId));
     }
   }
 
   async #collectPromises(position: number, reclaim: Reclaim): Promise<void> {
-    const { peers, membership, clock, vouchingPositions } = this.#options;
+    const { peers, membership, clock, confirmingPositions } = this.#options;
     this.promise(position, reclaim.holder);
-    vouchingPositions().forEach((own) => reclaim.promised.add(own));
-    const answers = await Promise.all(
+    confirmingPositions().forEach((own) => reclaim.promised.add(own));
+    const responses = await Promise.all(
       membership.knownPeers().map((peer) =>
         peers.call(peer.controlAddress, 'allotments.notice', {
           position,
@@ -146,9 +146,9 @@
         }),
       ),
     );
-    for (const answer of answers) {
-      if (answer.isOk()) {
-        answer.value.positions.forEach((promised) => reclaim.promised.add(promised));
+    for (const response of responses) {
+      if (response.isOk()) {
+        response.value.positions.forEach((promised) => reclaim.promised.add(promised));
       }
     }
     reclaim.lastPromiseAt = clock.now();
--- a/packages/control/src/allotments/position-store.ts
+++ b/packages/control/src/allotments/position-store.ts
@@ -9,7 +9,7 @@
 import { LAYOUT_KEY, positionKey, positionPrefix, readPositions } from './position-record.js';
 
 export interface PositionStoreOptions {
-  /** The layout by the settings; the one in the store goes before it. */
+  /** Layout from the settings; one in the store takes precedence. */
   readonly layout: PositionLayout;
   readonly store: KeyValueStore;
   readonly register: LimitRegister;
@@ -18,15 +18,15 @@
   readonly logger: Logger;
 }
 
-/** What one reading of the records showed. */
+/** Result of one read of the records. */
 export interface PositionReading {
   readonly positions: readonly StoredPosition[];
-  /** Clock reading from before the records were asked for. */
-  readonly askedAt: number;
+  /** Clock time before the read was sent. */
+  readonly requestedAt: number;
   readonly storeId: string;
 }
 
-/** The records of one group's positions in the platform's key-value service. */
+/** Accesses the records of a group's positions in the platform's key-value service. */
 export class PositionStore {
   readonly #options: PositionStoreOptions;
   #layout: PositionLayout;
@@ -34,8 +34,8 @@
   #group: readonly Position[] = [];
   readonly #seen = new SeenRevisions();
   #hasRead = false;
-  /** Revision up to which records are doubted, since the store was put back. */
-  #doubtedUpTo = 0;
+  /** Revision up to which records are uncertain after a restore of the store. */
+  #uncertainUpTo = 0;
 
   constructor(options: PositionStoreOptions) {
     this.#options = options;
@@ -43,48 +43,51 @@
     this.#use(options.layout);
   }
 
-  /** Number of positions that the group looks after. */
+  /** Number of positions in the group. */
   get groupSize(): number {
     return this.#group.length;
   }
 
-  /** Whether a member looks after the same positions as this daemon. */
+  /** Checks if a member belongs to the same position group as this daemon. */
   isInGroup(member: Member): boolean {
     return groupOf(this.#layout, member) === groupOf(this.#layout, this.#options.self());
   }
 
-  /** Reads the group's records; undefined while the store cannot be reached. */
+  /** Reads the group's records; undefined if the store is unavailable. */
   async read(): Promise<PositionReading | undefined> {
-    if (!(await this.#learnLayout())) {
+    if (!(await this.#ensureLayout())) {
       return undefined;
     }
-    const askedAt = this.#options.clock.now();
+    const requestedAt = this.#options.clock.now();
     const prefix = positionPrefix(groupOf(this.#layout, this.#options.self()));
     const listing = await this.#options.store.list(prefix);
     if (listing.isErr()) {
       return undefined;
     }
-    this.#notePutBack(listing.value);
+    this.#detectRestore(listing.value);
     return {
-      positions: readPositions(this.#group, listing.value, this.#doubtedUpTo),
+      positions: readPositions(this.#group, listing.value, this.#uncertainUpTo),
       storeId: listing.value.storeId,
-      askedAt,
+      requestedAt,
     };
   }
 
-  /** Where the store was put back under the same id, records up to its revision then may be older than what was written. */
-  #notePutBack(listing: StoreListing): void {
+  /** Detects a restore under the same store id, after which existing records may be outdated. */
+  #detectRestore(listing: StoreListing): void {
     const present = revisionsOf(listing);
     if (this.#hasRead && !this.#seen.isContinuedBy(present)) {
       const { storeId, revision } = listing;
-      this.#doubtedUpTo = revision;
-      this.#options.logger.warn('positions in a store that was put back', { storeId, revision });
+      this.#uncertainUpTo = revision;
+      this.#options.logger.warn('store was restored; position records are uncertain', {
+        storeId,
+        revision,
+      });
     }
     this.#hasRead = true;
     this.#seen.replace(present);
   }
 
-  /** Writes a record if it has not changed since it was read; says whether it surely was written. */
+  /** Writes a record if unchanged since it was read; returns true if the write is confirmed. */
   async write(position: StoredPosition, record: PositionRecord): Promise<boolean> {
     const swap = await this.#options.store.compareAndSwap({
       key: positionKey(position.position),
@@ -94,8 +97,8 @@
     return swap.isOk() && swap.value.swapped;
   }
 
-  /** The first daemon writes the layout; all others work with what stands there. */
-  async #learnLayout(): Promise<boolean> {
+  /** Writes the layout if the store has none, or else adopts the stored one. */
+  async #ensureLayout(): Promise<boolean> {
     if (this.#layoutKnown) {
       return true;
     }
--- a/packages/control/src/allotments/rate-shares.ts
+++ b/packages/control/src/allotments/rate-shares.ts
@@ -9,28 +9,28 @@
 import type { LimitRegister } from './limit-register.js';
 import { DemandMeter } from './demand-meter.js';
 
-/** Units that a rate limit is divided into; a unit is this part of its cap. */
+/** Number of units that a rate limit is divided into. */
 export const RATE_UNITS = 1_000_000;
-/** How long a loan of rate lasts. Long enough to be cheap, short enough to come back soon. */
+/** Duration of a rate loan. */
 export const RATE_LOAN_MILLISECONDS = 2_000;
 const ROUND_MILLISECONDS = 100;
-/** Peers asked for one limit in one round. */
-const ASKS_PER_ROUND = 3;
-/** Room borrowed above the present demand, as a share of it, so that small swings need no message. */
-const HEADROOM = 0.01;
-/** Room kept above what would be borrowed, so that the part does not swing. */
-const KEPT_ABOVE = 0.02;
-/** A peer that had nothing to spare is not asked again for this long. */
-const EMPTY_MILLISECONDS = 800;
-/** Loans smaller than this share of a limit are not worth a message. */
-const SMALLEST_LOAN_UNITS = RATE_UNITS / 1_000;
+/** Maximum number of peers to borrow from per limit and round. */
+const MAXIMUM_LENDERS_PER_ROUND = 3;
+/** Fraction borrowed above the demand, so that small fluctuations need no message. */
+const BORROW_HEADROOM = 0.01;
+/** Fraction retained above the borrowing target, as hysteresis. */
+const RETAIN_HEADROOM = 0.02;
+/** Back-off for a peer without spare units. */
+const LENDER_BACKOFF_MILLISECONDS = 800;
+/** Minimum size of a loan. */
+const MINIMUM_LOAN_UNITS = RATE_UNITS / 1_000;
 
 interface ActiveLimit {
   readonly meter: DemandMeter;
-  /** The cap that the units are parts of, per second, as last seen by its user. */
+  /** Cap per second that corresponds to all units, as last reported by the caller. */
   capPerSecond: number;
-  /** Peers that had nothing to spare, and until when they are passed over. */
-  readonly emptyUntil: Map<string, number>;
+  /** End of the back-off of peers without spare units, by member key. */
+  readonly backoffUntil: Map<string, number>;
 }
 
 export interface RateSharesOptions {
@@ -43,12 +43,12 @@
   readonly logger: Logger;
 }
 
-/** Moves parts of rate limits to where the demand is, by short loans between peers. */
+/** Moves shares of rate limits to the demand by short loans between peers. */
 export class RateShares {
   readonly #options: RateSharesOptions;
   readonly #tasks: BackgroundTasks;
   readonly #active = new Map<string, ActiveLimit>();
-  /** Whether the rounds are under way; they rest while no limit is in use. */
+  /** True while rounds run; they stop while no limit is in use. */
   #running = false;
   #loanCount = 0;
   #sequence = 1;
@@ -59,7 +59,7 @@
   }
 
   register(router: PeerRouter): void {
-    router.handle('allotments.borrow', (request) => this.#answerBorrow(request));
+    router.handle('allotments.borrow', (request) => this.#handleBorrow(request));
     router.handle('allotments.return', (loan) => {
       this.#options.ledger.takeBack(loan);
       return {};
@@ -70,22 +70,22 @@
     await this.#tasks.stop();
   }
 
-  /** The rate that may be used here now, of a limit with the given cap. */
+  /** Currently usable rate of a limit with the given cap. */
   usablePerSecond(limit: string, capPerSecond: number): number {
     return (this.#options.ledger.usable(limit) / RATE_UNITS) * capPerSecond;
   }
 
-  /** The lowest rate that could be used at any time since the last call. */
+  /** Minimum of the usable rate since the last call. */
   lowestPerSecond(limit: string, capPerSecond: number): number {
     return (this.#options.ledger.takeLowest(limit) / RATE_UNITS) * capPerSecond;
   }
 
-  /** The burst is divided evenly between the positions that share the limit. */
+  /** Fraction of the burst per position, divided evenly among those that share the limit. */
   burstShare(limit: string): number {
     return 1 / Math.max(1, this.#options.register.sharers(limit));
   }
 
-  /** Counts what is asked for, granted or not. */
+  /** Records demand, granted or not. */
   recordDemand(limit: string, capPerSecond: number, amount: number): void {
     const active = this.#activate(limit);
     active.capPerSecond = capPerSecond;
@@ -100,7 +100,7 @@
     const created: ActiveLimit = {
       meter: new DemandMeter(this.#options.clock),
       capPerSecond: 0,
-      emptyUntil: new Map(),
+      backoffUntil: new Map(),
     };
     this.#active.set(limit, created);
     if (!this.#running && !this.#tasks.stopped) {
@@ -126,28 +126,28 @@
       await this.#returnAll(limit);
       return;
     }
-    const wanted = Math.min(RATE_UNITS, this.#demandUnits(active) * (1 + HEADROOM));
+    const wanted = Math.min(RATE_UNITS, this.#demandUnits(active) * (1 + BORROW_HEADROOM));
     const now = clock.now();
     const expiring = ledger
       .borrowedLoans(limit)
       .filter((loan) => loan.until - now < RATE_LOAN_MILLISECONDS / 2);
-    const lasting = ledger.usable(limit) - sumUnits(expiring);
-    let worthKeeping = wanted * (1 + KEPT_ABOVE) - lasting;
+    const remaining = ledger.usable(limit) - sumUnits(expiring);
+    let retainUnits = wanted * (1 + RETAIN_HEADROOM) - remaining;
     for (const loan of expiring) {
-      if (worthKeeping <= 0) {
+      if (retainUnits <= 0) {
         break;
       }
-      ledger.shrinkBorrowed(loan.loanId, Math.ceil(worthKeeping));
-      worthKeeping -= loan.units;
+      ledger.shrinkBorrowed(loan.loanId, Math.ceil(retainUnits));
+      retainUnits -= loan.units;
       await this.#prolong(loan);
     }
     const missing = wanted - ledger.usable(limit);
-    if (missing >= SMALLEST_LOAN_UNITS) {
+    if (missing >= MINIMUM_LOAN_UNITS) {
       await this.#borrow(limit, active, Math.ceil(missing));
     }
   }
 
-  /** Units that the present demand takes. */
+  /** Units that cover the current demand. */
   #demandUnits(active: ActiveLimit): number {
     if (active.capPerSecond <= 0) {
       return 0;
@@ -158,29 +158,29 @@
 
   async #borrow(limit: string, active: ActiveLimit, wanted: number): Promise<void> {
     let missing = wanted;
-    for (const peer of this.#lenders(active).slice(0, ASKS_PER_ROUND)) {
+    for (const peer of this.#lenders(active).slice(0, MAXIMUM_LENDERS_PER_ROUND)) {
       const units = await this.#borrowFrom(peer, limit, missing, active);
       missing -= units;
-      if (missing < SMALLEST_LOAN_UNITS) {
+      if (missing < MINIMUM_LOAN_UNITS) {
         return;
       }
     }
   }
 
-  /** Peers worth asking: those in this region first, at random among equals. */
+  /** Peers that are not in back-off, own region first, otherwise in random order. */
   #lenders(active: ActiveLimit): { key: string; address: string }[] {
     const { membership, random, clock } = this.#options;
     const now = clock.now();
     const candidates = membership
       .knownPeers()
-      .filter((member) => (active.emptyUntil.get(memberKey(member)) ?? -Infinity) <= now);
+      .filter((member) => (active.backoffUntil.get(memberKey(member)) ?? -Infinity) <= now);
     const rank = (region: string): number => (region === membership.self.region ? 0 : 1);
     return shuffled(random, candidates)
       .sort((a, b) => rank(a.region) - rank(b.region))
       .map((member) => ({ key: memberKey(member), address: member.controlAddress }));
   }
 
-  /** Borrows from a peer, on top of what it has lent already; returns the units gained. */
+  /** Borrows additional units from a peer; returns the units gained. */
   async #borrowFrom(
     peer: { key: string; address: string },
     limit: string,
@@ -188,16 +188,16 @@
     active: ActiveLimit,
   ): Promise<number> {
     const { ledger, clock } = this.#options;
-    // One loan for each lender: many small ones would each have to be prolonged.
+    // Keeps one loan per lender, since each loan has to be extended separately.
     const known = ledger
       .borrowedLoans(limit)
       .find((loan) => loan.lenderAddress === peer.address && loan.until > clock.now());
     const before = known?.units ?? 0;
     const loanId = known?.loanId ?? `r${this.#loanCount++}`;
-    const askedAt = clock.now();
-    const lent = await this.#askLender(peer.address, { loanId, limit, units: before + units });
+    const requestedAt = clock.now();
+    const lent = await this.#requestLoan(peer.address, { loanId, limit, units: before + units });
     if (lent <= before) {
-      active.emptyUntil.set(peer.key, clock.now() + EMPTY_MILLISECONDS);
+      active.backoffUntil.set(peer.key, clock.now() + LENDER_BACKOFF_MILLISECONDS);
       return 0;
     }
     ledger.growBorrowed({
@@ -205,28 +205,28 @@
       lenderAddress: peer.address,
       limit,
       units: lent,
-      until: askedAt + RATE_LOAN_MILLISECONDS,
+      until: requestedAt + RATE_LOAN_MILLISECONDS,
     });
     return lent - before;
   }
 
   async #prolong(loan: BorrowedUnits): Promise<void> {
     const { ledger, clock } = this.#options;
-    const askedAt = clock.now();
-    const lent = await this.#askLender(loan.lenderAddress, loan);
+    const requestedAt = clock.now();
+    const lent = await this.#requestLoan(loan.lenderAddress, loan);
     if (lent > 0) {
       ledger.shrinkBorrowed(loan.loanId, lent);
-      ledger.prolongBorrowed(loan.loanId, askedAt + RATE_LOAN_MILLISECONDS);
+      ledger.prolongBorrowed(loan.loanId, requestedAt + RATE_LOAN_MILLISECONDS);
     }
   }
 
-  /** Units of the loan that the lender now grants; 0 where it does not, or does not answer. */
-  async #askLender(
+  /** Requests or extends a loan; returns the granted units, 0 if there is no response. */
+  async #requestLoan(
     address: string,
     loan: Pick<BorrowedUnits, 'loanId' | 'limit' | 'units'>,
   ): Promise<number> {
     const { peers, membership } = this.#options;
-    const answer = await peers.call(address, 'allotments.borrow', {
+    const response = await peers.call(address, 'allotments.borrow', {
       loanId: loan.loanId,
       borrower: memberKey(membership.self),
       limit: loan.limit,
@@ -234,7 +234,7 @@
       durationMilliseconds: RATE_LOAN_MILLISECONDS,
       sequence: this.#sequence++,
     });
-    return answer.isOk() ? answer.value.units : 0;
+    return response.isOk() ? response.value.units : 0;
   }
 
   async #returnAll(limit: string): Promise<void> {
@@ -246,8 +246,8 @@
     }
   }
 
-  /** Lends what its own demand does not take. */
-  #answerBorrow(request: PeerParams<'allotments.borrow'>): PeerResult<'allotments.borrow'> {
+  /** Lends units that exceed the own demand. */
+  #handleBorrow(request: PeerParams<'allotments.borrow'>): PeerResult<'allotments.borrow'> {
     const { ledger } = this.#options;
     const active = this.#active.get(request.limit);
     const ownDemand = active === undefined ? 0 : this.#demandUnits(active);
--- a/packages/control/src/allotments/slot-loans.ts
+++ b/packages/control/src/allotments/slot-loans.ts
@@ -8,51 +8,51 @@
 import type { PeerRouter } from '../peer/peer-router.js';
 import type { AllotmentLedger, BorrowedUnits } from './allotment-ledger.js';
 
-/** Peers asked at the same time for one service. */
-const PARALLEL_ASKS = 4;
-/** Slots asked for in one message. */
-const SLOTS_PER_ASK = 2;
-/** How long a peer without a free slot keeps the question, in case one comes free. */
-const WAIT_MILLISECONDS = 60;
-/** A peer that could not be asked is passed over for this long. */
-const FAILED_MILLISECONDS = 500;
-/** Time for which a borrowed slot may be given new work before the loan is prolonged. */
+/** Maximum number of concurrent borrow requests per service. */
+const MAXIMUM_PARALLEL_REQUESTS = 4;
+/** Maximum number of slots per borrow request. */
+const SLOTS_PER_REQUEST = 2;
+/** Time for which a peer without a free slot holds a borrow request. */
+const LENDER_WAIT_MILLISECONDS = 60;
+/** Back-off for a peer after a failed request. */
+const LENDER_BACKOFF_MILLISECONDS = 500;
+/** Time for which a borrowed slot may be reused before its loan has to be extended. */
 const REUSE_MILLISECONDS = 1_000;
 
-/** What the loans need of a service: its own free slots to lend, and its hunger for more. */
+/** Interface of a service to the loans: its spare slots and its demand. */
 export interface SlotBorrower {
   readonly account: string;
   readonly service: string;
   readonly longestDeadlineMilliseconds: number;
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for a slot. */
   readonly waiting: number;
-  /** Whether requests have waited long enough for a slot from a peer at that place to help. */
+  /** Checks if requests have waited long enough to borrow from a peer at that location. */
   isWorthAsking(place: Pick<Member, 'failureDomain' | 'region'>): boolean;
-  /** The limit key of a target's slots. */
+  /** Limit key of a target's slots. */
   limitKey(target: string): string;
-  /** Own slots that are neither in use nor lent, by target, best to lend first. */
+  /** Own slots neither in use nor lent, by target, in the preferred order of lending. */
   spareSlots(): readonly { readonly target: string; readonly units: number }[];
-  /** Slots of a target that may be used here, own or borrowed, and are not. */
+  /** Number of unused slots of a target, own or borrowed. */
   unusedSlots(target: string): number;
-  /** Called when slots have been borrowed. */
+  /** Called when slots were borrowed or returned. */
   slotsArrived(): void;
 }
 
 type BorrowRequest = PeerParams<'slots.borrow'>;
-type BorrowAnswer = PeerResult<'slots.borrow'>;
+type BorrowResult = PeerResult<'slots.borrow'>;
 
-/** A peer's question that waits here for a slot to come free. */
+/** Borrow request of a peer that is held until a slot is free. */
 interface WaitingPeer {
   readonly request: BorrowRequest;
-  readonly answer: (answer: BorrowAnswer) => void;
+  readonly respond: (result: BorrowResult) => void;
 }
 
 interface ServiceState {
   readonly borrower: SlotBorrower;
-  /** Peers that a question is under way to. */
-  readonly asked: Set<string>;
-  /** Peers that could not be asked, and until when they are passed over. */
-  readonly failedUntil: Map<string, number>;
+  /** Peers with a borrow request in flight. */
+  readonly pendingLenders: Set<string>;
+  /** End of the back-off of peers after a failed request, by member key. */
+  readonly backoffUntil: Map<string, number>;
   readonly waitingPeers: WaitingPeer[];
   readonly prolonging: Set<string>;
 }
@@ -67,8 +67,8 @@
 }
 
 /**
- * Moves free slots to daemons where requests wait. A borrower keeps a slot for as long as requests
- * wait for it there and its lender does not want it back, and returns it as soon as it is idle.
+ * Lends free slots to daemons where requests wait. A borrower keeps a slot while requests wait and
+ * the lender extends the loan, and returns it when it is idle.
  */
 export class SlotLoans {
   readonly #options: SlotLoansOptions;
@@ -81,14 +81,14 @@
     this.#tasks = new BackgroundTasks(options.logger);
   }
 
-  /** Takes a service's borrower up, or puts it in the place of the one before. */
+  /** Adds or replaces the borrower of a service. */
   add(borrower: SlotBorrower): void {
     const key = serviceKey(borrower.account, borrower.service);
     if (this.#services.get(key)?.borrower !== borrower) {
       this.#services.set(key, {
         borrower,
-        asked: new Set(),
-        failedUntil: new Map(),
+        pendingLenders: new Set(),
+        backoffUntil: new Map(),
         waitingPeers: [],
         prolonging: new Set(),
       });
@@ -100,56 +100,55 @@
   }
 
   register(router: PeerRouter): void {
-    router.handle('slots.borrow', (request) => this.#answerBorrow(request));
-    router.handle('slots.prolong', (request) => this.#answerProlong(request));
-    router.handle('slots.return', (request) => this.#answerReturn(request));
+    router.handle('slots.borrow', (request) => this.#handleBorrow(request));
+    router.handle('slots.prolong', (request) => this.#handleProlong(request));
+    router.handle('slots.return', (request) => this.#handleReturn(request));
   }
 
   async stop(): Promise<void> {
     await this.#tasks.stop();
   }
 
-  /** Looks for slots at peers, as many at a time as requests wait. */
+  /** Requests slots from peers, with at most one request in flight per waiting request. */
   want(account: string, service: string): void {
     const state = this.#services.get(serviceKey(account, service));
     if (state === undefined || this.#tasks.stopped) {
       return;
     }
-    const most = Math.min(PARALLEL_ASKS, state.borrower.waiting);
-    while (state.asked.size < most) {
+    const maxRequests = Math.min(MAXIMUM_PARALLEL_REQUESTS, state.borrower.waiting);
+    while (state.pendingLenders.size < maxRequests) {
       const peer = this.#nextLender(state);
       if (peer === undefined) {
         return;
       }
       const key = memberKey(peer);
-      state.asked.add(key);
+      state.pendingLenders.add(key);
       this.#tasks.start('borrow slots', async () => {
-        await this.#ask(state, peer);
-        state.asked.delete(key);
+        await this.#borrowFrom(state, peer);
+        state.pendingLenders.delete(key);
         this.want(account, service);
       });
     }
   }
 
   /**
-   * Called when a slot of a target has come free. Borrowed slots go back when nothing waits here;
-   * while something waits, loans are prolonged in time, and those that ran short are given up. Own
-   * slots go to peers whose questions wait.
+   * Called when a slot of a target is freed. Returns borrowed slots if no request waits, and else
+   * those whose loan is too short for reuse; extends the others. Lends own slots to waiting peers.
    */
   slotFreed(borrower: SlotBorrower, target: string, unused: number): void {
     const state = this.#services.get(serviceKey(borrower.account, borrower.service));
     if (state === undefined) {
       return;
     }
-    let left = unused;
+    let returnable = unused;
     const loans = this.#options.ledger.borrowedLoans(borrower.limitKey(target));
-    // Those that end first go first: what stays has to outlast the work that is under way.
+    // Returns the loans that expire first, since the rest has to outlast the work in progress.
     loans.sort((a, b) => a.until - b.until);
     for (const loan of loans) {
       if (borrower.waiting > 0 && this.#isReusable(borrower, loan)) {
-        this.#prolongInTime(state, loan);
-      } else if (loan.units <= left) {
-        left -= loan.units;
+        this.#prolongIfDue(state, loan);
+      } else if (loan.units <= returnable) {
+        returnable -= loan.units;
         this.#return(borrower, loan);
       }
     }
@@ -160,7 +159,7 @@
     return loan.until - this.#options.clock.now() >= borrower.longestDeadlineMilliseconds;
   }
 
-  #prolongInTime(state: ServiceState, loan: BorrowedUnits): void {
+  #prolongIfDue(state: ServiceState, loan: BorrowedUnits): void {
     const { clock, ledger, peers, membership } = this.#options;
     const { longestDeadlineMilliseconds } = state.borrower;
     const reusableFor = loan.until - clock.now() - longestDeadlineMilliseconds;
@@ -170,8 +169,8 @@
     state.prolonging.add(loan.loanId);
     this.#tasks.start('prolong slot loan', async () => {
       const durationMilliseconds = longestDeadlineMilliseconds + REUSE_MILLISECONDS;
-      const askedAt = clock.now();
-      const answer = await peers.call(loan.lenderAddress, 'slots.prolong', {
+      const requestedAt = clock.now();
+      const response = await peers.call(loan.lenderAddress, 'slots.prolong', {
         loanId: loan.loanId,
         borrower: memberKey(membership.self),
         account: state.borrower.account,
@@ -179,8 +178,8 @@
         limit: loan.limit,
         durationMilliseconds,
       });
-      if (answer.isOk() && answer.value.prolonged) {
-        ledger.prolongBorrowed(loan.loanId, askedAt + durationMilliseconds);
+      if (response.isOk() && response.value.prolonged) {
+        ledger.prolongBorrowed(loan.loanId, requestedAt + durationMilliseconds);
       }
       state.prolonging.delete(loan.loanId);
     });
@@ -197,59 +196,59 @@
     });
   }
 
-  /** A peer that is not being asked already; near ones first, at random among equals. */
+  /** Picks a random peer without a pending request, from the own region if it has any. */
   #nextLender(state: ServiceState): Member | undefined {
     const { membership, random, clock } = this.#options;
     const now = clock.now();
     const candidates = membership.knownPeers().filter((peer) => {
       const key = memberKey(peer);
-      return !state.asked.has(key) && (state.failedUntil.get(key) ?? -Infinity) <= now;
+      return !state.pendingLenders.has(key) && (state.backoffUntil.get(key) ?? -Infinity) <= now;
     });
-    const near = candidates.filter((peer) => peer.region === membership.self.region);
-    const worthwhile = near.length > 0 ? near : candidates;
+    const local = candidates.filter((peer) => peer.region === membership.self.region);
+    const preferred = local.length > 0 ? local : candidates;
     return shuffled(
       random,
-      worthwhile.filter((peer) => state.borrower.isWorthAsking(peer)),
+      preferred.filter((peer) => state.borrower.isWorthAsking(peer)),
     )[0];
   }
 
-  async #ask(state: ServiceState, peer: Member): Promise<void> {
+  async #borrowFrom(state: ServiceState, peer: Member): Promise<void> {
     const { clock, membership, peers, ledger } = this.#options;
     const { borrower } = state;
     const loanId = `s${this.#loanCount++}`;
     const durationMilliseconds = borrower.longestDeadlineMilliseconds + REUSE_MILLISECONDS;
-    const askedAt = clock.now();
-    const answer = await peers.call(peer.controlAddress, 'slots.borrow', {
+    const requestedAt = clock.now();
+    const response = await peers.call(peer.controlAddress, 'slots.borrow', {
       loanId,
       borrower: memberKey(membership.self),
       account: borrower.account,
       service: borrower.service,
-      slots: Math.min(SLOTS_PER_ASK, Math.max(1, borrower.waiting)),
+      slots: Math.min(SLOTS_PER_REQUEST, Math.max(1, borrower.waiting)),
       durationMilliseconds,
-      waitMilliseconds: WAIT_MILLISECONDS,
+      waitMilliseconds: LENDER_WAIT_MILLISECONDS,
     });
-    if (answer.isErr()) {
-      state.failedUntil.set(memberKey(peer), clock.now() + FAILED_MILLISECONDS);
+    if (response.isErr()) {
+      state.backoffUntil.set(memberKey(peer), clock.now() + LENDER_BACKOFF_MILLISECONDS);
       return;
     }
-    for (const loan of answer.value.loans) {
+    for (const loan of response.value.loans) {
       ledger.recordBorrowed({
         loanId: loan.loanId,
         lenderAddress: peer.controlAddress,
         limit: borrower.limitKey(loan.target),
         units: 1,
-        until: askedAt + durationMilliseconds,
+        until: requestedAt + durationMilliseconds,
       });
     }
-    if (answer.value.loans.length > 0) {
+    if (response.value.loans.length > 0) {
       borrower.slotsArrived();
-      answer.value.loans.forEach((loan) => {
+      response.value.loans.forEach((loan) => {
         this.#returnSurplus(borrower, loan.target);
       });
     }
   }
 
-  /** What arrived after the need for it had passed goes back. */
+  /** Returns borrowed slots that are no longer needed. */
   #returnSurplus(borrower: SlotBorrower, target: string): void {
     if (borrower.waiting > 0) {
       return;
@@ -264,8 +263,8 @@
     }
   }
 
-  /** Lends at once where slots are free here, else keeps the question for a short while. */
-  async #answerBorrow(request: BorrowRequest): Promise<BorrowAnswer> {
+  /** Lends free slots at once, or holds the request for a short time. */
+  async #handleBorrow(request: BorrowRequest): Promise<BorrowResult> {
     const state = this.#services.get(serviceKey(request.account, request.service));
     if (state === undefined) {
       return { loans: [] };
@@ -275,15 +274,18 @@
       return { loans };
     }
     return new Promise((resolve) => {
-      const waiting: WaitingPeer = { request, answer: resolve };
+      const waiting: WaitingPeer = { request, respond: resolve };
       state.waitingPeers.push(waiting);
-      this.#options.clock.after(Math.min(WAIT_MILLISECONDS, request.waitMilliseconds), () => {
-        const place = state.waitingPeers.indexOf(waiting);
-        if (place >= 0) {
-          state.waitingPeers.splice(place, 1);
-          resolve({ loans: [] });
-        }
-      });
+      this.#options.clock.after(
+        Math.min(LENDER_WAIT_MILLISECONDS, request.waitMilliseconds),
+        () => {
+          const index = state.waitingPeers.indexOf(waiting);
+          if (index >= 0) {
+            state.waitingPeers.splice(index, 1);
+            resolve({ loans: [] });
+          }
+        },
+      );
     });
   }
 
@@ -294,19 +296,19 @@
         return;
       }
       state.waitingPeers.shift();
-      first.answer({ loans });
+      first.respond({ loans });
     }
   }
 
-  #lend({ borrower }: ServiceState, request: BorrowRequest): BorrowAnswer['loans'] {
+  #lend({ borrower }: ServiceState, request: BorrowRequest): BorrowResult['loans'] {
     if (borrower.waiting > 0) {
       return [];
     }
     const free = borrower
       .spareSlots()
       .flatMap(({ target, units }) => Array.from({ length: units }, () => target));
-    const loans: BorrowAnswer['loans'] = [];
-    // Each slot is a loan of its own, since each comes back by itself.
+    const loans: BorrowResult['loans'] = [];
+    // Creates one loan per slot, since slots are returned individually.
     for (const target of free.slice(0, request.slots)) {
       const loanId = `${request.loanId}/${loans.length}`;
       const limit = borrower.limitKey(target);
@@ -322,8 +324,8 @@
     return loans;
   }
 
-  /** A slot that came back is free for whatever waits here, or at a peer. */
-  #answerReturn(request: PeerParams<'slots.return'>): PeerResult<'slots.return'> {
+  /** Makes a returned slot available to waiting requests, local or of peers. */
+  #handleReturn(request: PeerParams<'slots.return'>): PeerResult<'slots.return'> {
     this.#options.ledger.takeBack(request);
     const state = this.#services.get(serviceKey(request.account, request.service));
     if (state !== undefined) {
@@ -333,8 +335,8 @@
     return {};
   }
 
-  /** A lender with requests of its own waiting wants its slots back. */
-  #answerProlong(request: PeerParams<'slots.prolong'>): PeerResult<'slots.prolong'> {
+  /** Extends a loan unless own requests wait. */
+  #handleProlong(request: PeerParams<'slots.prolong'>): PeerResult<'slots.prolong'> {
     const state = this.#services.get(serviceKey(request.account, request.service));
     if (state === undefined || state.borrower.waiting > 0) {
       return { prolonged: false };
--- a/packages/control/src/configuration/configuration-sync.ts
+++ b/packages/control/src/configuration/configuration-sync.ts
@@ -190,7 +190,7 @@
   async #runWatch(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.#options;
     for (;;) {
-      // Sleeps first, so that a new daemon learns of other members before the watchers are selected.
+      // Sleeps first, so that a new daemon discovers members before it selects the watchers.
       await clock.sleep(jittered(random, WATCH_PAUSE_MILLISECONDS), signal);
       if (signal.aborted) {
         return;
--- a/packages/control/src/membership/membership.ts
+++ b/packages/control/src/membership/membership.ts
@@ -359,7 +359,7 @@
     await Promise.all(recipients.map((member) => this.#heartbeat(member.controlAddress, false)));
   }
 
-  /** Publishes the domain's summary from its running member with the lowest id, or one that ends. */
+  /** Updates the domain's summary if this is its running member with the lowest id, or ending. */
   #refreshSummary(): void {
     const running = this.members.running();
     const writer = running.map((member) => member.id).sort()[0];
--- a/packages/control/tests/allotments/positions.test.ts
+++ b/packages/control/tests/allotments/positions.test.ts
@@ -14,7 +14,7 @@
   return { fleet, everStarted: [...fleet.nodes] };
 }
 
-/** Units that all daemons together might use at this moment, dead and paused ones included. */
+/** Units that all daemons may use in total, including dead and paused ones. */
 function usableUnits(nodes: readonly ControlNode[]): number {
   return nodes.reduce((sum, node) => sum + node.ledger.usable(LIMIT.key), 0);
 }
@@ -31,14 +31,14 @@
 }
 
 describe('positions', () => {
-  it('are all in use, one at each host, soon after a start', async () => {
+  it('are all in use, one per host, soon after the start', async () => {
     const { fleet } = await startFleet();
     expect(fleet.nodes.map((node) => node.positions.positions.length)).toEqual(Array(12).fill(1));
     expect(usableUnits(fleet.nodes)).toBe(LIMIT.units);
     fleet.stop();
   });
 
-  it('are shared out anew when hosts join a smaller fleet', async () => {
+  it('are rebalanced when hosts join', async () => {
     const fleet = new ControlFleet(FLEET);
     fleet.startHost(0);
     fleet.startHost(5);
@@ -53,7 +53,7 @@
     fleet.stop();
   });
 
-  it('of a host that died go back into use, but not before it surely could not use them', async () => {
+  it('of a dead host are reused, but not before it must have stopped using them', async () => {
     const { fleet, everStarted } = await startFleet();
     const victim = fleet.node(4);
     fleet.kill(victim);
@@ -64,7 +64,7 @@
     fleet.stop();
   });
 
-  it('of a restarted host are taken up again by its next process after its loans are over', async () => {
+  it('of a restarted host are reclaimed by its next process after its loans have expired', async () => {
     const { fleet, everStarted } = await startFleet();
     fleet.kill(fleet.node(4));
     const restarted = fleet.startHost(4);
@@ -76,7 +76,7 @@
     fleet.stop();
   });
 
-  it('of a paused host can no longer be used by it when it wakes', async () => {
+  it('of a paused host are unusable when it resumes', async () => {
     const { fleet, everStarted } = await startFleet();
     const paused = fleet.node(4);
     paused.process.pause();
@@ -96,7 +96,7 @@
     fleet.stop();
   });
 
-  it('stay in use by the others when a host dies during an outage of the store', async () => {
+  it('stay in use at the other hosts when one dies during an outage of the store', async () => {
     const { fleet, everStarted } = await startFleet();
     fleet.engine.setDown(true);
     fleet.kill(fleet.node(4));
@@ -105,7 +105,7 @@
     fleet.stop();
   });
 
-  it('of a region cut off from store and peers are never in use on both sides', async () => {
+  it('of a partitioned region are never in use on both sides', async () => {
     const { fleet, everStarted } = await startFleet();
     const inside = new Set(fleet.nodes.slice(0, 4).map((node) => node.address));
     fleet.network.setRule((from, to) => inside.has(from) === inside.has(to));
@@ -122,7 +122,7 @@
     fleet.stop();
   });
 
-  it('are given back at a planned stop and used by others at once', async () => {
+  it('are released at a planned stop and reused at once', async () => {
     const { fleet } = await startFleet();
     const leaving = fleet.node(4);
     void leaving.membership.announceLeaving();
@@ -136,10 +136,10 @@
   });
 
   it.each([
-    ['another one', false],
-    ['the same one', true],
+    ['another id', false],
+    ['the same id', true],
   ])(
-    'are neither lost nor held twice when the store comes back older as %s',
+    'are neither lost nor held twice after a restore of an older store under %s',
     async (_case, keepsId) => {
       const { fleet, everStarted } = await startFleet();
       const backup = fleet.engine.backUp();
@@ -152,7 +152,7 @@
     },
   );
 
-  it('are not held twice where the store comes back as the same one, from a time when fewer were held', async () => {
+  it('are not held twice after a restore under the same id from before they were claimed', async () => {
     const { fleet, everStarted } = await startFleet();
     fleet.kill(fleet.node(4));
     await advanceChecking(fleet, everStarted, 5_000);
@@ -188,7 +188,7 @@
   );
 });
 
-/** Brings about one fault, or ends one, chosen by number. */
+/** Starts or ends the fault with the given number. */
 function injectFault(fleet: ControlFleet, everStarted: ControlNode[], choice: number): void {
   const node = fleet.node(randomIndex(fleet.random, fleet.nodes.length));
   switch (choice) {
@@ -198,7 +198,7 @@
       }
       return;
     case 1: {
-      // The process before is gone for certain, so that nothing it held can be in use.
+      // The previous process has ended, so its units cannot be in use.
       const index = Number(node.id.slice(-4));
       fleet.kill(node);
       everStarted.splice(everStarted.indexOf(node), 1);
--- a/packages/control/tests/allotments/rate-shares.test.ts
+++ b/packages/control/tests/allotments/rate-shares.test.ts
@@ -22,7 +22,7 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-/** Lets demand arrive at hosts in the given proportions, and checks the sum all the while. */
+/** Generates demand at hosts in the given proportions and checks the sum continuously. */
 async function runDemand(
   fleet: ControlFleet,
   weights: readonly number[],
@@ -45,7 +45,7 @@
     fleet.stop();
   });
 
-  it('lets hosts have their own parts back when their demand comes', async () => {
+  it('returns lent shares to hosts when their demand rises', async () => {
     const fleet = await startFleet(1);
     await runDemand(fleet, [900, 5, 5, 5, 5, 5], 15_000);
     await runDemand(fleet, [900, 200, 200, 200, 200, 200], 15_000);
@@ -55,7 +55,7 @@
     fleet.stop();
   });
 
-  it('takes back what a dead borrower had when its loans are over', async () => {
+  it('recovers the loans of a dead borrower when they expire', async () => {
     const fleet = await startFleet(1);
     await runDemand(fleet, [900, 5, 5, 5, 5, 5], 15_000);
     fleet.kill(fleet.node(0));
@@ -65,7 +65,7 @@
   });
 
   it.each([1, 2, 3])(
-    'never makes room out of lost, late or doubled messages, seed %i',
+    'never exceeds the limit with lost, late or duplicated messages, seed %i',
     async (seed) => {
       const fleet = await startFleet(seed);
       const { random, network } = fleet;
